--- a/crates/onyxstile-lab/src/goodput/calls.rs
+++ b/crates/onyxstile-lab/src/goodput/calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use onyxstile_system::balance::{EVENTS_NOTED, EndpointKey, Expected, Need};
+use onyxstile_system::balance::{CallRequirements, EVENTS_PER_SAMPLE, EndpointKey, PendingStream};
 use onyxstile_system::prefix::Part;
 
 use super::clients::{DEADLINE_MS, SILENCE_MS, Tries};
@@ -15,7 +15,7 @@
     pub(super) line: usize,
     pub(super) key: EndpointKey,
     pub(super) engine: usize,
-    pub(super) expected: Option<Expected>,
+    pub(super) expected: Option<PendingStream>,
     pub(super) parts: Vec<Part>,
     pub(super) sent_ms: f64,
     pub(super) heard_ms: f64,
@@ -34,8 +34,13 @@
         let roll = roll(&mut self.random);
         let relay = &mut self.relays[line.relay];
         relay.endpoints.note_prompt(&parts);
-        let need = Need { service: SERVICE, parts: &parts, program: Some(&name), ..Need::default() };
-        let Some(key) = relay.endpoints.choose(now, &need, roll) else { return };
+        let requirements = CallRequirements {
+            service: SERVICE,
+            parts: &parts,
+            program: Some(&name),
+            ..CallRequirements::default()
+        };
+        let Some(key) = relay.endpoints.choose(now, &requirements, roll) else { return };
         let expected = relay.endpoints.stream_sent(now, key, &parts);
         if let Some(endpoint) = relay.endpoints.get_mut(key) {
             endpoint.cache.note(&parts, self.shape.engine.memory_tokens);
@@ -85,12 +90,12 @@
         let endpoints = &mut self.relays[self.lines[call.line].relay].endpoints;
         let load = self.engines[call.engine].load();
         if let Some(endpoint) = endpoints.get_mut(call.key) {
-            endpoint.tell(now, load);
+            endpoint.note_load(now, load);
             endpoint.succeeded(now, Some(Duration::from_secs_f64((self.now_ms - call.sent_ms) / 1e3)));
         }
         if let Some(expected) = call.expected.take() {
-            endpoints.stream_began(now, &expected);
-            endpoints.stream_not_awaited(&expected);
+            endpoints.stream_started(now, &expected);
+            endpoints.stream_wait_ended(&expected);
         }
         call.heard_ms = self.now_ms;
     }
@@ -101,10 +106,10 @@
         call.events += 1;
         call.waited_ms += self.now_ms - call.heard_ms;
         call.heard_ms = self.now_ms;
-        if call.events >= EVENTS_NOTED {
+        if call.events >= EVENTS_PER_SAMPLE {
             let endpoints = &mut self.relays[self.lines[call.line].relay].endpoints;
             let waited = Duration::from_secs_f64(call.waited_ms / 1e3);
-            endpoints.stream_went_on(now, call.key, call.events, waited);
+            endpoints.stream_progressed(now, call.key, call.events, waited);
             (call.events, call.waited_ms) = (0, 0.0);
         }
     }
@@ -137,7 +142,7 @@
         let call = self.calls.remove(&id)?;
         let endpoints = &mut self.relays[self.lines[call.line].relay].endpoints;
         if let Some(expected) = &call.expected {
-            endpoints.stream_not_awaited(expected);
+            endpoints.stream_wait_ended(expected);
         }
         if let Some(endpoint) = endpoints.get_mut(call.key) {
             endpoint.end();
--- a/crates/onyxstile-lab/src/goodput/play.rs
+++ b/crates/onyxstile-lab/src/goodput/play.rs
@@ -4,7 +4,7 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Duration;
 
-use onyxstile_system::admission::Applicant;
+use onyxstile_system::admission::AdmissionRequest;
 use onyxstile_system::clock::Instant;
 use onyxstile_system::prefix::Part;
 use rand_core::RngCore;
@@ -195,10 +195,14 @@
         }
         let (relay, program) = (line.relay, &self.programs[line.program]);
         let name = format!("{:x}", (line.program as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15));
-        let left_ms = Some((program.begins_ms + program.aim_ms - self.now_ms).max(0.0));
+        let remaining_ms = Some((program.begins_ms + program.aim_ms - self.now_ms).max(0.0));
         let priority = self.shape.classes[program.class].priority;
         let now = self.now();
-        self.relays[relay].endpoints.refuse(now, SERVICE, Applicant { name: &name, priority, left_ms })
+        self.relays[relay].endpoints.check_admission(
+            now,
+            SERVICE,
+            AdmissionRequest { name: &name, priority, remaining_ms },
+        )
     }
 
     pub(super) fn again_or_over(&mut self, line: usize, again: Option<f64>) {
--- a/crates/onyxstile-system/src/admission.rs
+++ b/crates/onyxstile-system/src/admission.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use crate::clock::Instant;
-use crate::draw::place_of;
-use crate::tally::left_of;
+use crate::tally::half_life_decay;
+use crate::unit_hash::unit_hash;
 
 /// Streams of this age are worth half.
 const HALF_LIFE: Duration = Duration::from_millis(1000);
@@ -20,65 +20,65 @@
 /// tools, pauses and the way, which don't stretch.
 const TARGET: f64 = 2.5;
 /// The part of the most urgent class that begins, as a multiple of that of the least urgent one.
-const MOST_URGENT_TIMES: f64 = 1.3;
+const MOST_URGENT_FACTOR: f64 = 1.3;
 /// By how much the logarithm of the level falls in a second at twice the target, and rises at none of it: slower than programs
 /// take, for those that have begun stay.
-const FALL_A_SECOND: f64 = 1.6;
-const RISE_A_SECOND: f64 = 0.8;
+const FALL_PER_SECOND: f64 = 1.6;
+const RISE_PER_SECOND: f64 = 0.8;
 /// A level that was not looked at for longer moves as if after this time.
-const LONGEST_STEP: Duration = Duration::from_millis(500);
+const STEP_MAX: Duration = Duration::from_millis(500);
 /// Ranks of urgency that differ: class 0 is refused last, this class and those behind it first.
 const LEAST_URGENT: u8 = 1;
 /// This part of the programs begins whatever the load, so that it shows when endpoints are free again.
-const ALWAYS: f64 = 0.02;
+const LEVEL_MIN: f64 = 0.02;
 /// Time of streams, in ms, before their stretch is acted on.
-const KNOWN_AFTER_MS: f64 = 400.0;
+const WARMUP_MS: f64 = 400.0;
 /// A stream that waits counts up to this many times what its wait should be, so that a silent endpoint is not load.
-const WAIT_TIMES: f64 = 4.0;
+const WAIT_FACTOR_MAX: f64 = 4.0;
 /// When a refused client may come back: soon, for a program that has waited long before it begins ends late.
-const COME_BACK: Duration = Duration::from_millis(60);
+const RETRY_AFTER: Duration = Duration::from_millis(60);
 
 /// How a service's streams go on lately.
 #[derive(Debug, Clone)]
 pub struct Admission {
-    took_ms: f64,
+    elapsed_ms: f64,
     idle_ms: f64,
     counted_at: Instant,
     waiting: Vec<(Instant, f64)>,
     level: f64,
-    moved_at: Instant,
+    level_updated_at: Instant,
 }
 
 /// What is asked about a program.
 #[derive(Debug, Clone, Copy)]
-pub struct Applicant<'a> {
+pub struct AdmissionRequest<'a> {
     /// Its name, or that of a request which belongs to none.
     pub name: &'a str,
     /// Its route's rank; 0 is the most urgent.
     pub priority: u8,
     /// The time until it should be over, in ms, if it tells that.
-    pub left_ms: Option<f64>,
+    pub remaining_ms: Option<f64>,
 }
 
 impl Default for Admission {
     fn default() -> Self {
         Admission {
-            took_ms: 0.0,
+            elapsed_ms: 0.0,
             idle_ms: 0.0,
             counted_at: Instant::default(),
             waiting: Vec::new(),
             level: 1.0,
-            moved_at: Instant::default(),
+            level_updated_at: Instant::default(),
         }
     }
 }
 
 impl Admission {
     /// A stream made progress in `took_ms` that takes `idle_ms` at an idle endpoint.
-    pub fn note(&mut self, now: Instant, took_ms: f64, idle_ms: f64) {
-        let left = left_of(now.since(self.counted_at), HALF_LIFE);
-        self.took_ms = self.took_ms * left + took_ms;
-        self.idle_ms = self.idle_ms * left + idle_ms;
+    pub fn note(&mut self, now: Instant, elapsed_ms: f64, idle_ms: f64) {
+        let decay = half_life_decay(now.since(self.counted_at), HALF_LIFE);
+        self.elapsed_ms = self.elapsed_ms * decay + elapsed_ms;
+        self.idle_ms = self.idle_ms * decay + idle_ms;
         self.counted_at = now;
     }
 
@@ -89,34 +89,34 @@
 
     /// The stream that is waited for since `since` has begun or is given up.
     pub fn stop_waiting(&mut self, since: Instant) {
-        if let Some(place) = self.waiting.iter().position(|(sent, _)| *sent == since) {
-            self.waiting.swap_remove(place);
+        if let Some(index) = self.waiting.iter().position(|(sent, _)| *sent == since) {
+            self.waiting.swap_remove(index);
         }
     }
 
     /// How many times longer streams take than at idle endpoints; 1 while too little is known.
-    pub fn stretch(&self, now: Instant) -> f64 {
-        let left = left_of(now.since(self.counted_at), HALF_LIFE);
-        let (mut took, mut idle) = (self.took_ms * left, self.idle_ms * left);
+    pub fn slowdown(&self, now: Instant) -> f64 {
+        let decay = half_life_decay(now.since(self.counted_at), HALF_LIFE);
+        let (mut elapsed, mut idle) = (self.elapsed_ms * decay, self.idle_ms * decay);
         for (sent, expected) in &self.waiting {
             let waited = now.since(*sent).as_secs_f64() * 1e3;
-            took += waited.min(expected * WAIT_TIMES);
+            elapsed += waited.min(expected * WAIT_FACTOR_MAX);
             idle += waited.min(*expected);
         }
-        if took < KNOWN_AFTER_MS { 1.0 } else { took / idle.max(1.0) }
+        if elapsed < WARMUP_MS { 1.0 } else { elapsed / idle.max(1.0) }
     }
 
     /// When a program that may not begin now may come back; `None` if it may begin. A usual turn takes `turn_ms` at an idle
     /// endpoint.
-    pub fn refuse(&mut self, now: Instant, applicant: Applicant<'_>, turn_ms: f64) -> Option<Duration> {
-        let stretch = self.stretch(now);
-        self.move_level(now, stretch);
-        let part = part_admitted(self.level, applicant.priority);
-        let is_too_late = applicant.left_ms.is_some_and(|left_ms| left_ms < turn_ms * stretch);
-        if part >= 1.0 || (place_of(applicant.name) < part && !is_too_late) {
+    pub fn check(&mut self, now: Instant, request: AdmissionRequest<'_>, turn_ms: f64) -> Option<Duration> {
+        let slowdown = self.slowdown(now);
+        self.update_level(now, slowdown);
+        let fraction = admitted_fraction(self.level, request.priority);
+        let is_too_late = request.remaining_ms.is_some_and(|remaining_ms| remaining_ms < turn_ms * slowdown);
+        if fraction >= 1.0 || (unit_hash(request.name) < fraction && !is_too_late) {
             return None;
         }
-        Some(COME_BACK)
+        Some(RETRY_AFTER)
     }
 
     /// The part of the most urgent programs that may begin.
@@ -125,17 +125,17 @@
     }
 
     /// Moves the level by how far the stretch is from its target.
-    fn move_level(&mut self, now: Instant, stretch: f64) {
-        let passed = now.since(self.moved_at).min(LONGEST_STEP).as_secs_f64();
-        self.moved_at = now;
-        let excess = (stretch / TARGET - 1.0).clamp(-0.5, 1.0);
-        let gain = if excess > 0.0 { FALL_A_SECOND } else { RISE_A_SECOND };
-        self.level = (self.level * (-gain * excess * passed).exp()).clamp(ALWAYS, 1.0);
+    fn update_level(&mut self, now: Instant, slowdown: f64) {
+        let passed = now.since(self.level_updated_at).min(STEP_MAX).as_secs_f64();
+        self.level_updated_at = now;
+        let excess = (slowdown / TARGET - 1.0).clamp(-0.5, 1.0);
+        let gain = if excess > 0.0 { FALL_PER_SECOND } else { RISE_PER_SECOND };
+        self.level = (self.level * (-gain * excess * passed).exp()).clamp(LEVEL_MIN, 1.0);
     }
 }
 
 /// The part of a class's programs that begin at a level.
-pub fn part_admitted(level: f64, priority: u8) -> f64 {
+pub fn admitted_fraction(level: f64, priority: u8) -> f64 {
     let urgency = 1.0 - f64::from(priority.min(LEAST_URGENT)) / f64::from(LEAST_URGENT);
-    (level * (1.0 + (MOST_URGENT_TIMES - 1.0) * urgency)).min(1.0)
+    (level * (1.0 + (MOST_URGENT_FACTOR - 1.0) * urgency)).min(1.0)
 }
--- a/crates/onyxstile-system/src/balance/directory.rs
+++ b/crates/onyxstile-system/src/balance/directory.rs
@@ -27,9 +27,9 @@
 
     /// Forgets endpoints that left or fell silent long ago; returns their keys, which name nothing any more.
     pub fn forget(&mut self, now: Instant) -> Vec<EndpointKey> {
-        let is_over = |endpoint: &Endpoint| endpoint.is_over(now, RELAYS_FORGET_AFTER);
+        let is_expired = |endpoint: &Endpoint| endpoint.is_expired(now, RELAYS_FORGET_AFTER);
         let over: Vec<EndpointKey> =
-            self.slots.iter().filter(|(_, endpoint)| is_over(endpoint)).map(|(key, _)| key).collect();
+            self.slots.iter().filter(|(_, endpoint)| is_expired(endpoint)).map(|(key, _)| key).collect();
         for key in &over {
             let Some(endpoint) = self.slots.remove(*key) else { continue };
             self.by_id.remove(&endpoint.instance.id);
--- a/crates/onyxstile-system/src/balance/endpoint.rs
+++ b/crates/onyxstile-system/src/balance/endpoint.rs
@@ -10,9 +10,9 @@
 use crate::registry::{Instance, Stage};
 
 /// An endpoint in trouble is first passed over for this time.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
+const BACKOFF_MIN: Duration = Duration::from_millis(300);
 /// The longest time for which it is passed over.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+const BACKOFF_MAX: Duration = Duration::from_secs(4);
 /// What an endpoint has told of its load counts for this long.
 const LOAD_LIFETIME: Duration = Duration::from_millis(1500);
 /// Weight of a new sample in the usual latency.
@@ -60,9 +60,9 @@
     /// Its place in this relay's own order of endpoints.
     pub(super) rank: u64,
     in_flight: u32,
-    told: Option<(Load, u32, Instant)>,
+    reported: Option<(Load, u32, Instant)>,
     failures_in_row: u32,
-    passed_over_until: Instant,
+    backoff_until: Instant,
     is_superseded: bool,
     latency_ms: Option<f64>,
 }
@@ -77,9 +77,9 @@
             health: Health::default(),
             rank,
             in_flight: 0,
-            told: None,
+            reported: None,
             failures_in_row: 0,
-            passed_over_until: now,
+            backoff_until: now,
             is_superseded: false,
             latency_ms: None,
         }
@@ -96,7 +96,7 @@
     }
 
     /// Whether it left or fell silent so long ago that nothing of it is wanted any more.
-    pub(super) fn is_over(&self, now: Instant, after: Duration) -> bool {
+    pub(super) fn is_expired(&self, now: Instant, after: Duration) -> bool {
         let is_away = self.is_superseded || self.instance.is_away();
         is_away && self.in_flight == 0 && now.since(self.updated) > after
     }
@@ -108,31 +108,32 @@
 
     /// Whether it isn't passed over. After a failure one call at a time tries it.
     pub fn is_healthy(&self, now: Instant) -> bool {
-        self.failures_in_row == 0 || (now >= self.passed_over_until && self.in_flight == 0)
+        self.failures_in_row == 0 || (now >= self.backoff_until && self.in_flight == 0)
     }
 
     /// What it told lately, and what this relay has sent and ended since.
-    pub(super) fn told(&self, now: Instant) -> Option<Occupancy> {
-        let (told, in_flight_then, _) = self.told.filter(|(_, _, at)| now.since(*at) <= LOAD_LIFETIME)?;
+    pub(super) fn reported(&self, now: Instant) -> Option<Occupancy> {
+        let (reported, in_flight_then, _) =
+            self.reported.filter(|(_, _, at)| now.since(*at) <= LOAD_LIFETIME)?;
         let change = f64::from(self.in_flight) - f64::from(in_flight_then);
-        let running = (f64::from(told.running) + change).max(0.0);
-        Some(Occupancy { running, waiting: f64::from(told.waiting) })
+        let running = (f64::from(reported.running) + change).max(0.0);
+        Some(Occupancy { running, waiting: f64::from(reported.waiting) })
     }
 
     /// The load that it told last.
     pub fn last_load(&self) -> Option<Load> {
-        self.told.map(|(load, _, _)| load)
+        self.reported.map(|(load, _, _)| load)
     }
 
     /// What to expect: what it told, else what is usual among the others; this relay's own calls at the least.
-    pub(super) fn occupancy(&self, now: Instant, usual: Occupancy) -> Occupancy {
-        let expected = self.told(now).unwrap_or(usual);
+    pub(super) fn occupancy(&self, now: Instant, typical: Occupancy) -> Occupancy {
+        let expected = self.reported(now).unwrap_or(typical);
         let unseen = f64::from(self.in_flight) - expected.total();
         Occupancy { running: expected.running + unseen.max(0.0), ..expected }
     }
 
     /// The usual time of an answer, in ms, if it has answered.
-    pub(super) fn known_latency_ms(&self) -> Option<f64> {
+    pub(super) fn measured_latency_ms(&self) -> Option<f64> {
         self.latency_ms
     }
 
@@ -157,8 +158,8 @@
     }
 
     /// It has told its load.
-    pub fn tell(&mut self, now: Instant, load: Load) {
-        self.told = Some((load, self.in_flight, now));
+    pub fn note_load(&mut self, now: Instant, load: Load) {
+        self.reported = Some((load, self.in_flight, now));
     }
 
     /// The part of calls that is to be expected to fail.
@@ -168,7 +169,7 @@
 
     /// What there is to tell other relays of its calls.
     pub(super) fn evidence(&self, now: Instant) -> Option<Evidence> {
-        let tally = self.health.to_tell(now, self.latency())?;
+        let tally = self.health.report(now, self.latency())?;
         Some(Evidence::new(&self.instance.id, tally))
     }
 
@@ -188,7 +189,7 @@
     }
 
     /// It has run a call and answered with an error.
-    pub fn erred(&mut self, now: Instant) {
+    pub fn failed_with_error(&mut self, now: Instant) {
         self.failures_in_row = 0;
         self.health.note_failure(now);
     }
@@ -202,8 +203,8 @@
     /// No connection came up, or it was closed before a call was sent.
     pub fn unreachable(&mut self, now: Instant) {
         self.failures_in_row += 1;
-        let pause = FIRST_PAUSE.saturating_mul(1 << (self.failures_in_row - 1).min(8)).min(LONGEST_PAUSE);
-        self.passed_over_until = self.passed_over_until.max(now + pause);
+        let pause = BACKOFF_MIN.saturating_mul(1 << (self.failures_in_row - 1).min(8)).min(BACKOFF_MAX);
+        self.backoff_until = self.backoff_until.max(now + pause);
     }
 
     /// Another incarnation has its address.
--- a/crates/onyxstile-system/src/balance/health.rs
+++ b/crates/onyxstile-system/src/balance/health.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use crate::clock::Instant;
-use crate::tally::{Tally, left_after};
+use crate::tally::{Tally, decay_factor};
 
 /// Calls that the expectation before one's own stands for, so that one failure among few calls is no proof.
-const PRIOR: f64 = 4.0;
+const PRIOR_CALLS: f64 = 4.0;
 /// A call is overdue after this many times the usual latency.
 const OVERDUE_FACTOR: f64 = 6.0;
 /// No call is overdue before.
@@ -24,7 +24,7 @@
 pub struct Health {
     own: Tally,
     /// The part of all relays' calls that failed, and when that was heard.
-    heard: Option<(f64, Instant)>,
+    shared: Option<(f64, Instant)>,
     unanswered: Vec<Instant>,
 }
 
@@ -52,34 +52,35 @@
     }
 
     /// All relays' calls have shown this.
-    pub fn hear(&mut self, now: Instant, sum: Tally) {
-        self.heard = Some((sum.failed / (sum.failed + sum.answered + PRIOR), now));
+    pub fn merge_evidence(&mut self, now: Instant, sum: Tally) {
+        self.shared = Some((sum.failed / (sum.failed + sum.answered + PRIOR_CALLS), now));
     }
 
     /// The part of calls that is to be expected to fail, beyond what is negligible, where answers usually take `usual`.
-    pub fn suspicion(&self, now: Instant, usual: Duration) -> f64 {
-        let own = self.tally(now, usual);
-        let expected = (own.failed + PRIOR * self.heard(now)) / (own.failed + own.answered + PRIOR);
+    pub fn suspicion(&self, now: Instant, typical: Duration) -> f64 {
+        let own = self.tally(now, typical);
+        let expected =
+            (own.failed + PRIOR_CALLS * self.shared(now)) / (own.failed + own.answered + PRIOR_CALLS);
         (expected - NEGLIGIBLE).max(0.0)
     }
 
     /// What there is to tell others: all, where own calls have failed or others tell of failures.
-    pub fn to_tell(&self, now: Instant, usual: Duration) -> Option<Tally> {
-        let own = self.tally(now, usual);
-        let is_suspect = own.failed > NEGLIGIBLE || self.heard(now) > NEGLIGIBLE;
+    pub fn report(&self, now: Instant, typical: Duration) -> Option<Tally> {
+        let own = self.tally(now, typical);
+        let is_suspect = own.failed > NEGLIGIBLE || self.shared(now) > NEGLIGIBLE;
         (is_suspect && own.failed + own.answered > NEGLIGIBLE).then_some(own)
     }
 
     /// Own calls, those that are overdue counted as failed.
-    fn tally(&self, now: Instant, usual: Duration) -> Tally {
-        let overdue_after = usual.mul_f64(OVERDUE_FACTOR).max(OVERDUE_MIN);
+    fn tally(&self, now: Instant, typical: Duration) -> Tally {
+        let overdue_after = typical.mul_f64(OVERDUE_FACTOR).max(OVERDUE_MIN);
         let overdue = self.unanswered.iter().filter(|sent| now.since(**sent) > overdue_after).count();
-        let mut tally = self.own.faded(now);
+        let mut tally = self.own.decayed(now);
         tally.failed += overdue as f64;
         tally
     }
 
-    fn heard(&self, now: Instant) -> f64 {
-        self.heard.map_or(0.0, |(part, at)| part * left_after(now.since(at)))
+    fn shared(&self, now: Instant) -> f64 {
+        self.shared.map_or(0.0, |(part, at)| part * decay_factor(now.since(at)))
     }
 }
--- a/crates/onyxstile-system/src/balance/pool.rs
+++ b/crates/onyxstile-system/src/balance/pool.rs
@@ -2,28 +2,29 @@
 
 use std::collections::HashSet;
 
-use super::{EndpointKey, Endpoints, Need};
+use super::{CallRequirements, EndpointKey, Endpoints};
 use crate::clock::Instant;
 
 /// Homes are in the relay's own zone where as many endpoints as this are well there: clients of a zone come through its
 /// relays, and a conversation that crosses zones is paid for by its bytes.
-const HOMES_NEAR_MIN: usize = 2;
+const LOCAL_ENDPOINTS_MIN: usize = 2;
 /// A zone with less than this part of the endpoints that zones have on average can't carry an even share of the programs.
-const HOMES_NEAR_PART: f64 = 0.67;
+const LOCAL_FRACTION_MIN: f64 = 0.67;
 
 /// Endpoints at which a larger part of calls is expected to fail are left out of samples.
-const SUSPECT: f64 = 0.05;
+const SUSPICION_MAX: f64 = 0.05;
 
 impl Endpoints {
     /// The endpoints among which a call has the choice: those that are well and to which this relay may hold one more
     /// connection, as long as there are any; of these, this relay's subset.
-    pub(super) fn pool(&self, now: Instant, need: &Need<'_>) -> Vec<EndpointKey> {
-        let keys = self.keys(need.service);
-        let candidates: Vec<EndpointKey> = keys.iter().copied().filter(|key| self.fits(*key, need)).collect();
-        let share = self.connections.share(need.service, keys.len());
+    pub(super) fn pool(&self, now: Instant, requirements: &CallRequirements<'_>) -> Vec<EndpointKey> {
+        let keys = self.keys(requirements.service);
+        let candidates: Vec<EndpointKey> =
+            keys.iter().copied().filter(|key| self.is_eligible(*key, requirements)).collect();
+        let share = self.connections.share(requirements.service, keys.len());
         let healthy = only_if_any(candidates, |key| self.slots[key].is_healthy(now));
-        let with_room = only_if_any(healthy, |key| self.slots[key].in_flight() < share);
-        self.subset(with_room, self.connections.reach(need.service, keys.len()))
+        let with_capacity = only_if_any(healthy, |key| self.slots[key].in_flight() < share);
+        self.subset(with_capacity, self.connections.subset_size(requirements.service, keys.len()))
     }
 
     /// Those that come first in this relay's own order: one that goes is replaced by the next, and all others stay.
@@ -38,13 +39,13 @@
     /// Those of a tool's endpoints from which a sample is drawn: without the suspects, but half of them at least, the least
     /// suspect ones. Evidence never leaves a service empty.
     pub(super) fn trusted(
-        &self, now: Instant, need: &Need<'_>, mut pool: Vec<EndpointKey>,
+        &self, now: Instant, requirements: &CallRequirements<'_>, mut pool: Vec<EndpointKey>,
     ) -> Vec<EndpointKey> {
-        if !need.parts.is_empty() {
+        if !requirements.parts.is_empty() {
             return pool;
         }
         let suspicion = |key: &EndpointKey| self.slots[*key].suspicion(now);
-        let trusted = pool.iter().filter(|key| suspicion(key) < SUSPECT).count();
+        let trusted = pool.iter().filter(|key| suspicion(key) < SUSPICION_MAX).count();
         if trusted < pool.len() {
             pool.sort_by(|left, right| suspicion(left).total_cmp(&suspicion(right)));
             pool.truncate(trusted.max(pool.len().div_ceil(2)));
@@ -52,23 +53,23 @@
         pool
     }
 
-    fn fits(&self, key: EndpointKey, need: &Need<'_>) -> bool {
+    fn is_eligible(&self, key: EndpointKey, requirements: &CallRequirements<'_>) -> bool {
         self.slots[key].may_be_called()
-            && !need.excluded.contains(&key)
-            && need.only.is_none_or(|only| only.contains(&key))
+            && !requirements.excluded.contains(&key)
+            && requirements.only.is_none_or(|only| only.contains(&key))
     }
 
     /// Those of `pool` in the relay's own zone.
-    pub(super) fn near(&self, pool: &[EndpointKey]) -> Vec<EndpointKey> {
-        let is_near = |key: &EndpointKey| self.distances.is_own(&self.slots[*key].instance.zone);
-        pool.iter().copied().filter(is_near).collect()
+    pub(super) fn in_local_zone(&self, pool: &[EndpointKey]) -> Vec<EndpointKey> {
+        let is_local = |key: &EndpointKey| self.zone_delays.is_local_zone(&self.slots[*key].instance.zone);
+        pool.iter().copied().filter(is_local).collect()
     }
 
     /// The endpoints that a zone must have for the programs of its clients to be at home there.
-    pub(super) fn fewest_near(&self, pool: &[EndpointKey]) -> usize {
+    pub(super) fn local_endpoints_min(&self, pool: &[EndpointKey]) -> usize {
         let zones: HashSet<&str> = pool.iter().map(|key| self.slots[*key].instance.zone.as_str()).collect();
         let mean = pool.len() as f64 / zones.len().max(1) as f64;
-        ((mean * HOMES_NEAR_PART).ceil() as usize).max(HOMES_NEAR_MIN)
+        ((mean * LOCAL_FRACTION_MIN).ceil() as usize).max(LOCAL_ENDPOINTS_MIN)
     }
 }
 
--- a/crates/onyxstile-system/src/balance/distances.rs
+++ b/crates/onyxstile-system/src/balance/zone_delays.rs
@@ -10,23 +10,23 @@
 
 /// The times by zone.
 #[derive(Debug, Default)]
-pub(super) struct Distances {
-    own: String,
+pub(super) struct ZoneDelays {
+    local: String,
     connect_ms: HashMap<String, f64>,
 }
 
-impl Distances {
+impl ZoneDelays {
     /// A relay in the zone `own` that has measured nothing.
-    pub(super) fn new(own: &str) -> Distances {
-        Distances { own: own.to_owned(), connect_ms: HashMap::new() }
+    pub(super) fn new(local: &str) -> ZoneDelays {
+        ZoneDelays { local: local.to_owned(), connect_ms: HashMap::new() }
     }
 
     /// A connection to an endpoint in `zone` came up in this time.
     pub(super) fn note(&mut self, zone: &str, time: Duration) {
         let sample = time.as_secs_f64() * 1000.0;
         match self.connect_ms.get_mut(zone) {
-            Some(known) if sample >= *known => *known += LONGER_WEIGHT * (sample - *known),
-            Some(known) => *known = sample,
+            Some(shortest) if sample >= *shortest => *shortest += LONGER_WEIGHT * (sample - *shortest),
+            Some(shortest) => *shortest = sample,
             None => {
                 self.connect_ms.insert(zone.to_owned(), sample);
             }
@@ -34,16 +34,16 @@
     }
 
     /// Whether a zone is the relay's own.
-    pub(super) fn is_own(&self, zone: &str) -> bool {
-        zone == self.own
+    pub(super) fn is_local_zone(&self, zone: &str) -> bool {
+        zone == self.local
     }
 
     /// What a call to `zone` takes longer than one to the relay's own, in ms there and back.
-    pub(super) fn to(&self, zone: &str) -> f64 {
-        if self.is_own(zone) {
+    pub(super) fn extra_ms(&self, zone: &str) -> f64 {
+        if self.is_local_zone(zone) {
             return 0.0;
         }
         let time = |zone: &str| self.connect_ms.get(zone).copied().unwrap_or(0.0);
-        (time(zone) - time(&self.own)).max(OTHER_ZONE_MS)
+        (time(zone) - time(&self.local)).max(OTHER_ZONE_MS)
     }
 }
--- a/crates/onyxstile-system/src/controller.rs
+++ b/crates/onyxstile-system/src/controller.rs
@@ -31,7 +31,7 @@
 
 use crate::clock::Instant;
 use crate::control::{ControlState, Durable, ElectorId, Life, Message, Operation, Outcome, Token, Write};
-use crate::tolerance::{Place, Tolerance};
+use crate::tolerance::{Location, Tolerance};
 
 /// A write that its successor has not acknowledged goes again after this time.
 const RESEND_AFTER: Duration = Duration::from_millis(150);
@@ -121,7 +121,7 @@
     }
 
     /// The same controller on a machine that stands at `place`.
-    pub fn placed(mut self, place: Place) -> Controller {
+    pub fn placed(mut self, place: Location) -> Controller {
         self.places.insert(self.id.ip, place);
         self
     }
--- a/crates/onyxstile-system/src/controller/events.rs
+++ b/crates/onyxstile-system/src/controller/events.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use crate::control::{Durable, ElectorId, Message, Operation, Outcome, Write};
-use crate::tolerance::Place;
+use crate::tolerance::Location;
 
 /// What a controller takes in.
 #[derive(Debug, Clone)]
@@ -24,7 +24,7 @@
         operation: Operation,
     },
     /// Core machines that membership holds alive, this one left out, and where each stands.
-    Live(Vec<(ElectorId, Place)>),
+    Live(Vec<(ElectorId, Location)>),
     /// Names of storage machines that membership holds dead or does not know.
     DeadStorage(Vec<String>),
     /// Time has passed.
--- a/crates/onyxstile-system/src/controller/membership.rs
+++ b/crates/onyxstile-system/src/controller/membership.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use crate::control::{ElectorId, View};
-use crate::tolerance::{Place, Tolerance};
+use crate::tolerance::{Location, Tolerance};
 
 /// Where each core machine stands that was ever heard of; one that wasn't counts as a zone and region of no name.
-pub type Places = BTreeMap<[u8; 4], Place>;
+pub type Places = BTreeMap<[u8; 4], Location>;
 
 /// The electors and the chain that a next view should have; `None` if this view is to stay or too few are alive.
 ///
@@ -58,14 +58,14 @@
 }
 
 fn keeps_majority(electors: &[ElectorId], tolerance: Tolerance, places: &Places) -> bool {
-    let unknown = Place::default();
-    let stand: Vec<&Place> = electors.iter().map(|id| places.get(&id.ip).unwrap_or(&unknown)).collect();
+    let unknown = Location::default();
+    let stand: Vec<&Location> = electors.iter().map(|id| places.get(&id.ip).unwrap_or(&unknown)).collect();
     tolerance.keeps_majority(&stand)
 }
 
 /// The last elector of the zone with the most of them; where regions may be lost, of the region with the most first.
 fn in_largest_crowd(electors: &[ElectorId], tolerance: Tolerance, places: &Places) -> usize {
-    let unknown = Place::default();
+    let unknown = Location::default();
     let place = |id: &ElectorId| places.get(&id.ip).unwrap_or(&unknown);
     let crowd = |id: &ElectorId| {
         let here = place(id);
--- a/crates/onyxstile-system/src/evidence.rs
+++ b/crates/onyxstile-system/src/evidence.rs
@@ -13,11 +13,11 @@
 use crate::tally::Tally;
 
 /// Endpoints in one message, so that no trouble makes it long; those with the most failures come first.
-pub const ENDPOINTS_TOLD: usize = 16;
+pub const ENDPOINTS_PER_MESSAGE: usize = 16;
 /// Failures over all relays that make an endpoint a suspect: a single lost answer does not.
 const FAILED_MIN: f64 = 1.5;
 /// What a relay told this long ago is forgotten; it has faded to a thirtieth.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(25);
+const EXPIRE_AFTER: Duration = Duration::from_secs(25);
 /// No relay has more calls that count: what is told beyond is cut.
 const COUNT_MAX: f32 = 1e6;
 
@@ -45,30 +45,30 @@
     /// The tally, whatever was told.
     pub fn tally(&self, now: Instant) -> Tally {
         // What is no number becomes 0.
-        let count = |told: f32| f64::from(told.clamp(0.0, COUNT_MAX).max(0.0));
+        let count = |reported: f32| f64::from(reported.clamp(0.0, COUNT_MAX).max(0.0));
         Tally::new(now, count(self.failed), count(self.answered))
     }
 }
 
 /// The evidence with the most failures, as much as one message holds.
-pub fn heaviest(mut evidence: Vec<Evidence>) -> Vec<Evidence> {
+pub fn most_failed(mut evidence: Vec<Evidence>) -> Vec<Evidence> {
     evidence.sort_by(|left, right| {
         right.failed.total_cmp(&left.failed).then_with(|| left.instance.cmp(&right.instance))
     });
-    evidence.truncate(ENDPOINTS_TOLD);
+    evidence.truncate(ENDPOINTS_PER_MESSAGE);
     evidence
 }
 
 /// What relays have told, at the controller that sums it up.
 #[derive(Debug, Default)]
-pub struct Pooled {
+pub struct EvidencePool {
     by_instance: HashMap<String, BTreeMap<[u8; 4], (Tally, Instant)>>,
 }
 
-impl Pooled {
+impl EvidencePool {
     /// A relay tells what its calls show now; that takes the place of what it told before.
-    pub fn absorb(&mut self, now: Instant, relay: [u8; 4], told: &[Evidence]) {
-        for evidence in told.iter().take(ENDPOINTS_TOLD) {
+    pub fn note_report(&mut self, now: Instant, relay: [u8; 4], reported: &[Evidence]) {
+        for evidence in reported.iter().take(ENDPOINTS_PER_MESSAGE) {
             let relays = self.by_instance.entry(evidence.instance.clone()).or_default();
             relays.insert(relay, (evidence.tally(now), now));
         }
@@ -77,7 +77,7 @@
     /// Forgets what was told long ago.
     pub fn tick(&mut self, now: Instant) {
         self.by_instance.retain(|_, relays| {
-            relays.retain(|_, (_, told)| now.since(*told) < FORGOTTEN_AFTER);
+            relays.retain(|_, (_, reported)| now.since(*reported) < EXPIRE_AFTER);
             !relays.is_empty()
         });
     }
@@ -86,12 +86,12 @@
     pub fn suspects(&self, now: Instant) -> Vec<Evidence> {
         let sum = |relays: &BTreeMap<[u8; 4], (Tally, Instant)>| {
             let mut sum = Tally::new(now, 0.0, 0.0);
-            relays.values().for_each(|(tally, _)| sum.add(tally.faded(now)));
+            relays.values().for_each(|(tally, _)| sum.add(tally.decayed(now)));
             sum
         };
         let sums = self.by_instance.iter().map(|(instance, relays)| (instance, sum(relays)));
         let suspects = sums.filter(|(_, sum)| sum.failed >= FAILED_MIN);
-        heaviest(suspects.map(|(instance, sum)| Evidence::new(instance, sum)).collect())
+        most_failed(suspects.map(|(instance, sum)| Evidence::new(instance, sum)).collect())
     }
 
     /// A line for each suspect, for operators.
--- a/crates/onyxstile-system/src/known.rs
+++ b/crates/onyxstile-system/src/feed_state.rs
@@ -10,7 +10,7 @@
 
 /// News, in the order in which it came.
 #[derive(Debug, Clone)]
-pub enum News {
+pub enum FeedUpdate {
     /// A newer control state.
     State(Published),
     /// Endpoints that changed.
@@ -25,35 +25,35 @@
 
 /// What was heard.
 #[derive(Debug, Default)]
-pub struct Known {
+pub struct FeedState {
     state: Option<Published>,
     endpoints: HashMap<String, (Instance, Instant)>,
     fresh_since: Option<Instant>,
     relays: Option<u32>,
 }
 
-impl Known {
+impl FeedState {
     /// Takes news in and adds to `feed` what a proxy that knows the rest has to be told.
-    pub fn absorb(&mut self, now: Instant, news: News, feed: &mut Feed) {
-        match news {
-            News::State(mut state) => {
+    pub fn apply(&mut self, now: Instant, update: FeedUpdate, feed: &mut Feed) {
+        match update {
+            FeedUpdate::State(mut state) => {
                 let before = self.state.take().and_then(|state| state.configuration);
                 state.configuration = state.configuration.or(before);
                 feed.state = Some(state.clone());
                 self.state = Some(state);
             }
-            News::Endpoints(mut endpoints) => {
+            FeedUpdate::Endpoints(mut endpoints) => {
                 // Each controller tells of all endpoints at first.
-                endpoints.retain(|instance| self.hold(now, instance));
+                endpoints.retain(|instance| self.store(now, instance));
                 self.forget(now);
                 feed.endpoints.extend(endpoints);
             }
-            News::Fresh => {
+            FeedUpdate::Fresh => {
                 self.fresh_since.get_or_insert(now);
             }
-            News::Relays(count) => self.relays = Some(count),
+            FeedUpdate::Relays(count) => self.relays = Some(count),
             // It is told anew as long as it holds.
-            News::Evidence(evidence) => feed.evidence = evidence,
+            FeedUpdate::Evidence(evidence) => feed.evidence = evidence,
         }
         (feed.is_fresh, feed.relays) = (self.fresh_since.is_some(), self.relays);
     }
@@ -69,23 +69,23 @@
     }
 
     /// Holds a record; false if it says nothing that is not known.
-    fn hold(&mut self, now: Instant, instance: &Instance) -> bool {
+    fn store(&mut self, now: Instant, instance: &Instance) -> bool {
         let held = self.endpoints.get(&instance.id);
-        let is_news = held.is_none_or(|(held, _)| is_newer(instance, held) && instance != held);
-        if is_news {
+        let is_update = held.is_none_or(|(held, _)| is_newer(instance, held) && instance != held);
+        if is_update {
             self.endpoints.insert(instance.id.clone(), (instance.clone(), now));
         }
-        is_news
+        is_update
     }
 
     fn forget(&mut self, now: Instant) {
-        let is_over =
-            |instance: &Instance, heard| instance.is_away() && now.since(heard) >= RELAYS_FORGET_AFTER;
-        self.endpoints.retain(|_, (instance, heard)| !is_over(instance, *heard));
+        let is_expired =
+            |instance: &Instance, received| instance.is_away() && now.since(received) >= RELAYS_FORGET_AFTER;
+        self.endpoints.retain(|_, (instance, received)| !is_expired(instance, *received));
     }
 
     /// Everything, for a proxy that knows nothing.
-    pub fn whole(&self) -> Feed {
+    pub fn snapshot(&self) -> Feed {
         Feed {
             state: self.state.clone(),
             endpoints: self.endpoints.values().map(|(instance, _)| instance.clone()).collect(),
--- a/crates/onyxstile-system/src/prefix.rs
+++ b/crates/onyxstile-system/src/prefix.rs
@@ -61,7 +61,7 @@
     }
 
     /// A prompt was sent there; `room` is what the endpoint's memory holds in tokens.
-    pub fn note(&mut self, parts: &[Part], room: u64) {
+    pub fn note(&mut self, parts: &[Part], capacity: u64) {
         for part in parts {
             self.stamp += 1;
             if let Some((tokens, stamp)) = self.parts.insert(part.chain, (part.tokens, self.stamp)) {
@@ -71,7 +71,7 @@
             self.tokens += u64::from(part.tokens);
             self.order.insert(self.stamp, part.chain);
         }
-        while self.tokens > room {
+        while self.tokens > capacity {
             let Some((_, chain)) = self.order.pop_first() else { break };
             if let Some((tokens, _)) = self.parts.remove(&chain) {
                 self.tokens -= u64::from(tokens);
--- a/crates/onyxstile-system/src/program.rs
+++ b/crates/onyxstile-system/src/program.rs
@@ -7,11 +7,13 @@
 mod repair;
 mod turn_cache;
 
-pub use claims::{Admission, ClaimSummary, Entry, Settled, admit, fits, is_first, merge_claims};
-pub use index::{Merge, RecordIndex, RecordNumber};
+pub use claims::{
+    BudgetDecision, ClaimEntry, ClaimSummary, Settled, admit, fits_budget, is_first, merge_claims,
+};
+pub use index::{MergeResult, RecordIndex, RecordNumber};
 pub use placement::{Group, groups, nearest};
 pub use quorum::Quorum;
-pub use repair::{Assessment, Copied, Progress, Source};
+pub use repair::{Assessment, CopiedChanges, Progress, Source};
 pub use turn_cache::TurnCache;
 
 use std::rc::Rc;
@@ -48,11 +50,11 @@
     /// A turn.
     Turn(Rc<Turn>),
     /// A claim on a program's budget.
-    Entry {
+    ClaimEntry {
         /// The program.
         program: String,
         /// The claim.
-        entry: Entry,
+        entry: ClaimEntry,
     },
 }
 
@@ -62,7 +64,7 @@
     /// A turn's request id.
     Turn(String),
     /// A program and the request id of a claim.
-    Entry(String, String),
+    ClaimEntry(String, String),
 }
 
 impl Key {
@@ -70,7 +72,7 @@
     pub fn placed_by(&self) -> &str {
         match self {
             Key::Turn(id) => id,
-            Key::Entry(program, _) => program,
+            Key::ClaimEntry(program, _) => program,
         }
     }
 }
@@ -80,7 +82,7 @@
     pub fn key(&self) -> Key {
         match self {
             Record::Turn(turn) => Key::Turn(turn.id.clone()),
-            Record::Entry { program, entry } => Key::Entry(program.clone(), entry.request.clone()),
+            Record::ClaimEntry { program, entry } => Key::ClaimEntry(program.clone(), entry.request.clone()),
         }
     }
 
@@ -88,7 +90,7 @@
     pub fn version(&self) -> u8 {
         match self {
             Record::Turn(_) => 0,
-            Record::Entry { entry, .. } => entry.version(),
+            Record::ClaimEntry { entry, .. } => entry.version(),
         }
     }
 }
--- a/crates/onyxstile-system/src/program/claims.rs
+++ b/crates/onyxstile-system/src/program/claims.rs
@@ -9,16 +9,16 @@
 
 /// One turn's claim on the budget of its program.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Entry {
+pub struct ClaimEntry {
     /// The request id of the try.
     pub request: String,
     /// The most tokens that it may generate.
-    pub most: u64,
+    pub max_tokens: u64,
     /// The tokens that it did generate, once that is known.
     pub settled: Option<u64>,
 }
 
-impl Entry {
+impl ClaimEntry {
     /// Rises when the claim changes: it is settled once.
     pub fn version(&self) -> u8 {
         u8::from(self.settled.is_some())
@@ -26,7 +26,7 @@
 
     /// What the budget has to bear for it.
     pub fn charge(&self) -> u64 {
-        self.settled.unwrap_or(self.most)
+        self.settled.unwrap_or(self.max_tokens)
     }
 }
 
@@ -54,26 +54,26 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ClaimSummary {
     /// Claims that are not settled.
-    pub open: Vec<Entry>,
+    pub open: Vec<ClaimEntry>,
     /// The sum of the others.
     pub settled: Settled,
 }
 
 /// Whether a turn may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admission {
+pub enum BudgetDecision {
     /// It fits the budget.
     Fits,
     /// It does not.
-    Spent,
+    Exhausted,
     /// The answers differ in what is settled: all claims have to be known.
-    Unsure,
+    Inconclusive,
 }
 
 /// Whether a turn of at most `most` tokens fits a budget beside the claims that a quorum tells.
 ///
 /// Where answers differ, the claims settled anywhere are no more than all sums together; if even these fit, so does the turn.
-pub fn admit(budget: u64, own: &str, most: u64, answers: &[ClaimSummary]) -> Admission {
+pub fn admit(budget: u64, own: &str, max_tokens: u64, answers: &[ClaimSummary]) -> BudgetDecision {
     let mut open = Vec::new();
     let mut settled: Vec<Settled> = Vec::new();
     for answer in answers {
@@ -83,12 +83,12 @@
         }
     }
     let tokens = settled.iter().fold(0, |sum: u64, settled| sum.saturating_add(settled.tokens));
-    if fits(budget.saturating_sub(tokens), own, most, &open) && tokens <= budget {
-        Admission::Fits
+    if fits_budget(budget.saturating_sub(tokens), own, max_tokens, &open) && tokens <= budget {
+        BudgetDecision::Fits
     } else if settled.len() <= 1 {
-        Admission::Spent
+        BudgetDecision::Exhausted
     } else {
-        Admission::Unsure
+        BudgetDecision::Inconclusive
     }
 }
 
@@ -100,7 +100,7 @@
 }
 
 /// Adds claims to those known, each request once; what is settled counts before what isn't.
-pub fn merge_claims(claims: &mut Vec<Entry>, entries: Vec<Entry>) {
+pub fn merge_claims(claims: &mut Vec<ClaimEntry>, entries: Vec<ClaimEntry>) {
     for entry in entries {
         match claims.iter_mut().find(|held| held.request == entry.request) {
             Some(held) if held.settled.is_none() => *held = entry,
@@ -114,8 +114,8 @@
 ///
 /// Of two turns that are reserved side by side at least one sees the other, for their quorums meet; both fit only if
 /// the budget holds both at their most.
-pub fn fits(budget: u64, own: &str, most: u64, claims: &[Entry]) -> bool {
-    let others = claims.iter().filter(|entry| entry.request != own).map(Entry::charge);
+pub fn fits_budget(budget: u64, own: &str, max_tokens: u64, claims: &[ClaimEntry]) -> bool {
+    let others = claims.iter().filter(|entry| entry.request != own).map(ClaimEntry::charge);
     // A sum that is no number is over every budget.
-    others.fold(most, u64::saturating_add) <= budget
+    others.fold(max_tokens, u64::saturating_add) <= budget
 }
--- a/crates/onyxstile-system/src/program/index.rs
+++ b/crates/onyxstile-system/src/program/index.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use super::{ClaimSummary, Entry, Key, Record, Settled, Turn};
+use super::{ClaimEntry, ClaimSummary, Key, Record, Settled, Turn};
 use crate::clock::Instant;
 
 /// Time beyond its retention that a turn is kept: clocks differ, and a chain's last turn is younger than its first.
@@ -21,20 +21,20 @@
 
 /// What a record did to the index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Merge {
+pub struct MergeResult {
     /// It was new, or newer than what was held.
     pub has_changed: bool,
     /// A record that need not be kept any more: the older one, or this one if the same or a newer one is held.
-    pub superfluous: Option<RecordNumber>,
+    pub obsolete: Option<RecordNumber>,
 }
 
-impl Merge {
-    fn changed(replaced: Option<RecordNumber>) -> Merge {
-        Merge { has_changed: true, superfluous: replaced }
+impl MergeResult {
+    fn changed(replaced: Option<RecordNumber>) -> MergeResult {
+        MergeResult { has_changed: true, obsolete: replaced }
     }
 
-    fn known(held: RecordNumber, number: RecordNumber) -> Merge {
-        Merge { has_changed: false, superfluous: (held != number).then_some(number) }
+    fn known(held: RecordNumber, number: RecordNumber) -> MergeResult {
+        MergeResult { has_changed: false, obsolete: (held != number).then_some(number) }
     }
 }
 
@@ -45,7 +45,7 @@
 }
 
 struct HeldClaim {
-    entry: Entry,
+    entry: ClaimEntry,
     number: RecordNumber,
     counter: u64,
 }
@@ -54,7 +54,7 @@
 struct Program {
     claims: BTreeMap<String, HeldClaim>,
     settled: Settled,
-    touched: Instant,
+    last_claim_at: Instant,
 }
 
 /// Which turns and claims there are.
@@ -84,32 +84,36 @@
     }
 
     /// Takes in a record that stands in the log under `number`. `age` is how long ago it was written.
-    pub fn merge(&mut self, now: Instant, age: Duration, record: &Record, number: RecordNumber) -> Merge {
+    pub fn merge(
+        &mut self, now: Instant, age: Duration, record: &Record, number: RecordNumber,
+    ) -> MergeResult {
         match record {
             Record::Turn(turn) => self.merge_turn(now, age, turn, number),
-            Record::Entry { program, entry } => self.merge_entry(now, program, entry, number),
+            Record::ClaimEntry { program, entry } => self.merge_entry(now, program, entry, number),
         }
     }
 
-    fn merge_turn(&mut self, now: Instant, age: Duration, turn: &Turn, number: RecordNumber) -> Merge {
+    fn merge_turn(&mut self, now: Instant, age: Duration, turn: &Turn, number: RecordNumber) -> MergeResult {
         if let Some(held) = self.turns.get(&turn.id) {
-            return Merge::known(held.number, number);
+            return MergeResult::known(held.number, number);
         }
         let counter = self.note(Key::Turn(turn.id.clone()));
         let kept = Duration::from_millis(turn.retention_ms) + RETENTION_SLACK;
         let expires = now + kept.saturating_sub(age);
         self.turns.insert(turn.id.clone(), HeldTurn { number, counter, expires });
-        Merge::changed(None)
+        MergeResult::changed(None)
     }
 
-    fn merge_entry(&mut self, now: Instant, program: &str, entry: &Entry, number: RecordNumber) -> Merge {
+    fn merge_entry(
+        &mut self, now: Instant, program: &str, entry: &ClaimEntry, number: RecordNumber,
+    ) -> MergeResult {
         let held = self.held_claim(program, &entry.request);
         if let Some(held) = held.filter(|held| held.entry.version() >= entry.version()) {
-            return Merge::known(held.number, number);
+            return MergeResult::known(held.number, number);
         }
-        let counter = self.note(Key::Entry(program.to_owned(), entry.request.clone()));
+        let counter = self.note(Key::ClaimEntry(program.to_owned(), entry.request.clone()));
         let held = self.programs.entry(program.to_owned()).or_default();
-        held.touched = now;
+        held.last_claim_at = now;
         if let Some(tokens) = entry.settled {
             held.settled.add(&entry.request, tokens);
         }
@@ -119,7 +123,7 @@
             Some(before) => drop(self.changes.remove(&before.counter)),
             None => self.claims += 1,
         }
-        Merge::changed(before.map(|before| before.number))
+        MergeResult::changed(before.map(|before| before.number))
     }
 
     fn note(&mut self, key: Key) -> u64 {
@@ -129,7 +133,7 @@
     }
 
     /// All claims of a program.
-    pub fn claims(&self, program: &str) -> Vec<Entry> {
+    pub fn claims(&self, program: &str) -> Vec<ClaimEntry> {
         let held = self.programs.get(program);
         held.map_or_else(Vec::new, |held| held.claims.values().map(|claim| claim.entry.clone()).collect())
     }
@@ -143,7 +147,7 @@
     }
 
     /// A claim.
-    pub fn claim(&self, program: &str, request: &str) -> Option<&Entry> {
+    pub fn claim(&self, program: &str, request: &str) -> Option<&ClaimEntry> {
         self.held_claim(program, request).map(|held| &held.entry)
     }
 
@@ -160,7 +164,7 @@
     pub fn holds(&self, key: &Key, version: u8) -> bool {
         match key {
             Key::Turn(id) => self.turns.contains_key(id),
-            Key::Entry(program, request) => {
+            Key::ClaimEntry(program, request) => {
                 self.claim(program, request).is_some_and(|held| held.version() >= version)
             }
         }
@@ -180,7 +184,7 @@
     fn version(&self, key: &Key) -> u8 {
         match key {
             Key::Turn(_) => 0,
-            Key::Entry(program, request) => self.claim(program, request).map_or(0, Entry::version),
+            Key::ClaimEntry(program, request) => self.claim(program, request).map_or(0, ClaimEntry::version),
         }
     }
 
@@ -195,7 +199,7 @@
             is_kept
         });
         self.programs.retain(|_, held| {
-            let is_kept = now.since(held.touched) < PROGRAM_LIFETIME;
+            let is_kept = now.since(held.last_claim_at) < PROGRAM_LIFETIME;
             if !is_kept {
                 dropped.extend(held.claims.values().map(|claim| (claim.number, claim.counter)));
                 self.claims -= held.claims.len();
--- a/crates/onyxstile-system/src/program/placement.rs
+++ b/crates/onyxstile-system/src/program/placement.rs
@@ -4,7 +4,7 @@
 use std::net::Ipv4Addr;
 
 use crate::storage_plan::{StorageNode, StoragePlan};
-use crate::tolerance::{Place, Tolerance};
+use crate::tolerance::{Location, Tolerance};
 
 /// Machines that hold a key, and how many of them a quorum takes.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -27,22 +27,22 @@
 /// The member of a key's group to ask first for what it holds: one in `zone` if there is one, else the first by hash; none
 /// that `is_doubted`. While the plan changes those before are asked, for newcomers may hold nothing yet.
 pub fn nearest(
-    plan: &StoragePlan, key: &str, tolerance: Tolerance, zone: &str, is_doubted: impl Fn(Ipv4Addr) -> bool,
+    plan: &StoragePlan, key: &str, tolerance: Tolerance, zone: &str, is_suspected: impl Fn(Ipv4Addr) -> bool,
 ) -> Option<Ipv4Addr> {
     let nodes = if plan.is_changing() { &plan.previous } else { &plan.current };
     let members: Vec<Ipv4Addr> =
-        group(nodes, key, tolerance).members.into_iter().filter(|member| !is_doubted(*member)).collect();
-    let is_near =
+        group(nodes, key, tolerance).members.into_iter().filter(|member| !is_suspected(*member)).collect();
+    let is_in_zone =
         |member: &&Ipv4Addr| nodes.iter().any(|node| node.address() == **member && node.place.zone == zone);
-    members.iter().find(is_near).or(members.first()).copied()
+    members.iter().find(is_in_zone).or(members.first()).copied()
 }
 
 fn group(nodes: &[StorageNode], key: &str, tolerance: Tolerance) -> Group {
     let mut ranked: Vec<(u64, Ipv4Addr, &StorageNode)> =
         nodes.iter().map(|node| (weight(node, key), node.address(), node)).collect();
     ranked.sort_unstable_by_key(|(weight, address, _)| std::cmp::Reverse((*weight, *address)));
-    let places: Vec<&Place> = ranked.iter().map(|(_, _, node)| &node.place).collect();
-    let chosen = tolerance.spread(&places);
+    let locations: Vec<&Location> = ranked.iter().map(|(_, _, node)| &node.place).collect();
+    let chosen = tolerance.select_group(&locations);
     let members: Vec<Ipv4Addr> = chosen.into_iter().map(|index| ranked[index].1).collect();
     Group { quorum: members.len() / 2 + 1, members }
 }
--- a/crates/onyxstile-system/src/program/repair.rs
+++ b/crates/onyxstile-system/src/program/repair.rs
@@ -21,31 +21,31 @@
 
 use crate::clock::Instant;
 use crate::storage_plan::{StorageNode, StoragePlan};
-use crate::tolerance::{Place, Tolerance};
+use crate::tolerance::{Location, Tolerance};
 
 /// A machine that has not answered for this long counts as out of reach; it is then not waited for where it isn't needed.
-const OUT_OF_REACH: Duration = Duration::from_millis(900);
+const UNREACHABLE_AFTER: Duration = Duration::from_millis(900);
 
 /// How far the copy from one other machine is.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Source {
     /// The life of that machine that the counter belongs to.
-    pub origin: u64,
+    pub incarnation: u64,
     /// The newest of its changes that was dealt with.
     pub counter: u64,
     /// The epoch that both went by when all its changes had been dealt with; 0 if they never were.
-    complete_epoch: u64,
+    copied_epoch: u64,
     /// The epoch for which that machine was synced when all its changes had been dealt with by that epoch.
     synced_epoch: u64,
     /// When it answered last as one that is whole.
-    answered_whole: Option<Instant>,
+    last_complete_reply: Option<Instant>,
 }
 
 /// One answer about the changes at another machine, once everything in it has been copied.
 #[derive(Debug, Clone, Copy)]
-pub struct Copied {
+pub struct CopiedChanges {
     /// The life of that machine.
-    pub origin: u64,
+    pub incarnation: u64,
     /// The newest change that was among the answer's.
     pub counter: u64,
     /// Whether there were no later ones.
@@ -53,18 +53,18 @@
     /// The epoch that the machine went by.
     pub epoch: u64,
     /// Whether it holds all that it should.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// The newest epoch for which it was synced.
     pub synced_epoch: u64,
     /// The epoch that this machine went by when it looked which keys are its own.
-    pub looked_by: u64,
+    pub evaluated_epoch: u64,
 }
 
 /// What the progress allows a machine to say.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Assessment {
     /// It holds all that it should: its answers may count towards quorums.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// It holds all that the plan's epoch gives it.
     pub is_synced: bool,
 }
@@ -78,16 +78,16 @@
 
 impl Progress {
     /// Goes by a newer plan; returns the machines that have to be copied from and weren't before.
-    pub fn take_plan(&mut self, own: Ipv4Addr, before: &StoragePlan, plan: &StoragePlan) -> Vec<Ipv4Addr> {
+    pub fn apply_plan(&mut self, own: Ipv4Addr, before: &StoragePlan, plan: &StoragePlan) -> Vec<Ipv4Addr> {
         if !plan.places_as(before) {
             // Other keys are its own now: what was passed over has to be looked at again.
             self.sources.values_mut().for_each(|source| *source = Source::default());
         }
         let members: Vec<Ipv4Addr> =
             plan.all().iter().map(|node| node.address()).filter(|ip| *ip != own).collect();
-        let fresh = members.iter().copied().filter(|ip| !self.members.contains(ip)).collect();
+        let added = members.iter().copied().filter(|ip| !self.members.contains(ip)).collect();
         self.members = members;
-        fresh
+        added
     }
 
     /// Whether a machine is to be copied from.
@@ -101,25 +101,25 @@
     }
 
     /// Whether all changes of a machine have been dealt with by the plan's epoch.
-    pub fn is_complete(&self, ip: Ipv4Addr, epoch: u64) -> bool {
-        self.sources.get(&ip).is_some_and(|source| source.complete_epoch >= epoch)
+    pub fn is_copied(&self, ip: Ipv4Addr, epoch: u64) -> bool {
+        self.sources.get(&ip).is_some_and(|source| source.copied_epoch >= epoch)
     }
 
     /// Notes an answer that followed a question with `before`.
-    pub fn note(&mut self, now: Instant, ip: Ipv4Addr, before: Source, copied: Copied, epoch: u64) {
+    pub fn note(&mut self, now: Instant, ip: Ipv4Addr, before: Source, copied: CopiedChanges, epoch: u64) {
         let source = self.sources.entry(ip).or_default();
-        if copied.is_whole {
-            source.answered_whole = Some(now);
+        if copied.is_complete {
+            source.last_complete_reply = Some(now);
         }
-        let was_reset = source.origin != before.origin || source.counter != before.counter;
-        if was_reset || copied.looked_by != epoch {
+        let was_reset = source.incarnation != before.incarnation || source.counter != before.counter;
+        if was_reset || copied.evaluated_epoch != epoch {
             // A plan came in between; the answer was looked at by the old one.
             return;
         }
-        source.origin = copied.origin;
+        source.incarnation = copied.incarnation;
         source.counter = copied.counter;
-        if copied.is_last && copied.is_whole {
-            source.complete_epoch = copied.epoch.min(epoch);
+        if copied.is_last && copied.is_complete {
+            source.copied_epoch = copied.epoch.min(epoch);
         }
         if copied.is_last && copied.epoch >= copied.synced_epoch {
             source.synced_epoch = copied.synced_epoch.min(epoch);
@@ -133,27 +133,28 @@
 
     /// What the progress allows a machine with this disk to say; `is_whole` is what was allowed before.
     pub fn assess(
-        &self, now: Instant, own: (Ipv4Addr, u64), plan: &StoragePlan, is_whole: bool, tolerance: Tolerance,
+        &self, now: Instant, own: (Ipv4Addr, u64), plan: &StoragePlan, is_complete: bool,
+        tolerance: Tolerance,
     ) -> Assessment {
         let (own, disk) = own;
         if !plan.holds(own, disk) {
             // It is to hold nothing, which says nothing of what a later plan gives it.
-            return Assessment { is_whole, is_synced: false };
+            return Assessment { is_complete, is_synced: false };
         }
         let settled = plan.settled();
-        let is_complete = |node: &StorageNode| self.is_complete(node.address(), plan.epoch);
-        let missing = missing(settled, own, is_complete);
+        let is_copied = |node: &StorageNode| self.is_copied(node.address(), plan.epoch);
+        let missing = missing(settled, own, is_copied);
         let has_copied_current = self.has_copied_current(own, plan, tolerance);
-        let is_whole =
-            is_whole || has_copied_current || tolerance.covers(&with_own_loss(&missing, settled, own));
+        let is_complete =
+            is_complete || has_copied_current || tolerance.covers(&with_own_loss(&missing, settled, own));
         // One that holds nothing itself is not waited for: it may wait for this machine, or be about to leave for good.
         let is_reachable = |node: &&StorageNode| {
-            let answered = self.sources.get(&node.address()).and_then(|source| source.answered_whole);
-            answered.is_some_and(|at| now.since(at) < OUT_OF_REACH)
+            let answered = self.sources.get(&node.address()).and_then(|source| source.last_complete_reply);
+            answered.is_some_and(|at| now.since(at) < UNREACHABLE_AFTER)
         };
-        let has_copied_settled =
-            tolerance.covers(&places(&missing)) && !missing.iter().copied().any(|node| is_reachable(&node));
-        Assessment { is_whole, is_synced: is_whole && (has_copied_settled || has_copied_current) }
+        let has_copied_settled = tolerance.covers(&locations(&missing))
+            && !missing.iter().copied().any(|node| is_reachable(&node));
+        Assessment { is_complete, is_synced: is_complete && (has_copied_settled || has_copied_current) }
     }
 
     /// Whether enough current members were copied from that were synced for the plan's epoch.
@@ -173,14 +174,14 @@
     nodes.iter().filter(|node| node.address() != own && !is_done(node)).collect()
 }
 
-fn places<'a>(nodes: &[&'a StorageNode]) -> Vec<&'a Place> {
+fn locations<'a>(nodes: &[&'a StorageNode]) -> Vec<&'a Location> {
     nodes.iter().map(|node| &node.place).collect()
 }
 
 /// The places of missing machines, and of this one where its lost disk may have been one of a quorum among `members`.
 fn with_own_loss<'a>(
     missing: &[&'a StorageNode], members: &'a [StorageNode], own: Ipv4Addr,
-) -> Vec<&'a Place> {
+) -> Vec<&'a Location> {
     let own_loss = members.iter().filter(|node| node.address() == own).map(|node| &node.place);
-    places(missing).into_iter().chain(own_loss).collect()
+    locations(missing).into_iter().chain(own_loss).collect()
 }
--- a/crates/onyxstile-system/src/retry.rs
+++ b/crates/onyxstile-system/src/retry.rs
@@ -11,11 +11,11 @@
 
 /// What of the mechanism is open to choice.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Law {
+pub struct RetryPolicy {
     /// The time after which a first timer fires, and the time that the lower threshold covers.
     pub first_timer: Duration,
     /// The chance at and beyond the upper threshold.
-    pub least_chance: f64,
+    pub min_probability: f64,
     /// The upper threshold as a multiple of the lower one.
     pub threshold_ratio: f64,
     /// Weight of a new sample in the average rate of first sends.
@@ -24,11 +24,11 @@
     pub threshold_floor: f64,
 }
 
-impl Default for Law {
+impl Default for RetryPolicy {
     fn default() -> Self {
-        Law {
+        RetryPolicy {
             first_timer: Duration::from_millis(500),
-            least_chance: 0.1,
+            min_probability: 0.1,
             threshold_ratio: 3.0,
             rate_weight: 0.002,
             threshold_floor: 4.0,
@@ -50,28 +50,28 @@
     rate_per_s: f64,
     sends_in_sample: u32,
     sample_began: Instant,
-    usual_latency_s: f64,
+    mean_latency_s: f64,
     held_until: Instant,
     refusals_in_row: u32,
 }
 
 impl Destination {
     /// A destination that nothing was sent to; its rate starts at `slots` divided by T1.
-    pub fn new(now: Instant, slots: u32, law: &Law) -> Destination {
+    pub fn new(now: Instant, slots: u32, policy: &RetryPolicy) -> Destination {
         Destination {
             pending: 0,
-            rate_per_s: f64::from(slots) / law.first_timer.as_secs_f64(),
+            rate_per_s: f64::from(slots) / policy.first_timer.as_secs_f64(),
             sends_in_sample: 0,
             sample_began: now,
-            usual_latency_s: 0.0,
+            mean_latency_s: 0.0,
             held_until: Instant::default(),
             refusals_in_row: 0,
         }
     }
 
     /// A call is sent for the first time.
-    pub fn first_send(&mut self, now: Instant, law: &Law) {
-        self.roll_sample(now, law);
+    pub fn first_send(&mut self, now: Instant, policy: &RetryPolicy) {
+        self.advance_sample(now, policy);
         self.sends_in_sample += 1;
         self.pending += 1;
     }
@@ -90,10 +90,10 @@
     pub fn answered(&mut self, latency: Duration) {
         self.refusals_in_row = 0;
         let sample = latency.as_secs_f64();
-        self.usual_latency_s = if self.usual_latency_s == 0.0 {
+        self.mean_latency_s = if self.mean_latency_s == 0.0 {
             sample
         } else {
-            self.usual_latency_s + LATENCY_WEIGHT * (sample - self.usual_latency_s)
+            self.mean_latency_s + LATENCY_WEIGHT * (sample - self.mean_latency_s)
         };
     }
 
@@ -116,27 +116,27 @@
     }
 
     /// The chance that a firing resends a call.
-    pub fn chance(&mut self, now: Instant, law: &Law) -> f64 {
-        self.roll_sample(now, law);
-        let scaled = self.rate_per_s * law.first_timer.as_secs_f64().max(self.usual_latency_s);
-        let lower = scaled.max(law.threshold_floor);
-        let upper = lower * law.threshold_ratio;
+    pub fn resend_probability(&mut self, now: Instant, policy: &RetryPolicy) -> f64 {
+        self.advance_sample(now, policy);
+        let scaled = self.rate_per_s * policy.first_timer.as_secs_f64().max(self.mean_latency_s);
+        let lower = scaled.max(policy.threshold_floor);
+        let upper = lower * policy.threshold_ratio;
         let excess = (f64::from(self.pending) - lower) / (upper - lower);
-        (1.0 - (1.0 - law.least_chance) * excess).clamp(law.least_chance, 1.0)
+        (1.0 - (1.0 - policy.min_probability) * excess).clamp(policy.min_probability, 1.0)
     }
 
     /// When a timer that is due at `due` may fire: a firing inside a wait moves to its end.
-    pub fn fires_at(&self, due: Instant) -> Instant {
+    pub fn fire_time(&self, due: Instant) -> Instant {
         due.max(self.held_until)
     }
 
-    fn roll_sample(&mut self, now: Instant, law: &Law) {
+    fn advance_sample(&mut self, now: Instant, policy: &RetryPolicy) {
         let mut passed = now.since(self.sample_began).as_secs_f64();
         let span = SAMPLE_EVERY.as_secs_f64();
         let mut steps = 0;
         while passed >= span && steps < 200 {
             let sample = f64::from(self.sends_in_sample) / span;
-            self.rate_per_s += law.rate_weight * (sample - self.rate_per_s);
+            self.rate_per_s += policy.rate_weight * (sample - self.rate_per_s);
             self.sends_in_sample = 0;
             passed -= span;
             steps += 1;
--- a/crates/onyxstile-system/src/role/agent.rs
+++ b/crates/onyxstile-system/src/role/agent.rs
@@ -18,8 +18,8 @@
 use super::subscription::{self, Wishes};
 use crate::clock::SteadyClock;
 use crate::evidence::Evidence;
+use crate::feed_state::{FeedState, FeedUpdate};
 use crate::figures::Figures;
-use crate::known::{Known, News};
 use crate::settings::Settings;
 use crate::wire::{Feed, Request, Response};
 
@@ -40,7 +40,7 @@
     let clock = SteadyClock::start();
     let Signals { termination, hangups } = signals;
     let settings = Rc::new(RefCell::new(settings));
-    let known: Rc<RefCell<Known>> = Rc::default();
+    let known: Rc<RefCell<FeedState>> = Rc::default();
     let told = known.clone();
     let client = Client::default();
     let evidence: Rc<RefCell<Vec<Evidence>>> = Rc::default();
@@ -76,14 +76,14 @@
 }
 
 async fn feed(
-    link: Link, mut news: UnboundedReceiver<News>, known: &RefCell<Known>, is_ending: Rc<Cell<bool>>,
-    evidence: Rc<RefCell<Vec<Evidence>>>,
+    link: Link, mut news: UnboundedReceiver<FeedUpdate>, known: &RefCell<FeedState>,
+    is_ending: Rc<Cell<bool>>, evidence: Rc<RefCell<Vec<Evidence>>>,
 ) {
     let Link { client, proxy, clock } = link;
     let mut fed: Option<u64> = None;
     loop {
         let changes = gather(clock, &mut news, known).await;
-        let feed = if fed.is_some() { changes } else { known.borrow().whole() };
+        let feed = if fed.is_some() { changes } else { known.borrow().snapshot() };
         match client.call(proxy, &Request::Feed(feed), FEED_PATIENCE).await {
             Ok(Response::Fed { life, evidence: shown }) if fed.is_none_or(|known| known == life) => {
                 fed = Some(life);
@@ -102,20 +102,22 @@
 }
 
 /// Waits for news or the next regular feed; what changed, as one feed.
-async fn gather(clock: SteadyClock, news: &mut UnboundedReceiver<News>, known: &RefCell<Known>) -> Feed {
+async fn gather(
+    clock: SteadyClock, news: &mut UnboundedReceiver<FeedUpdate>, known: &RefCell<FeedState>,
+) -> Feed {
     let mut feed = known.borrow().unchanged();
     let mut next = tokio::time::timeout(FEED_EVERY, news.recv()).await.ok().flatten();
     while let Some(item) = next {
-        known.borrow_mut().absorb(clock.now(), item, &mut feed);
+        known.borrow_mut().apply(clock.now(), item, &mut feed);
         next = news.try_recv().ok();
     }
     feed
 }
 
 /// What an agent tells of itself in figures.
-fn figures(known: &Known) -> Figures {
+fn figures(known: &FeedState) -> Figures {
     let mut figures = Figures::default();
-    let whole = known.whole();
+    let whole = known.snapshot();
     figures.flag("fresh", "Whether a majority of the controllers was heard since the start.", whole.is_fresh);
     let help = "Time from the start until it was heard; -1 before.";
     figures.time_taken("fresh_after_seconds", help, known.fresh_after());
--- a/crates/onyxstile-system/src/role/controller.rs
+++ b/crates/onyxstile-system/src/role/controller.rs
@@ -31,7 +31,7 @@
 use crate::control::{Durable, Outcome};
 use crate::controller::{Controller, Input};
 use crate::disk::{ControlRecord, RealFolder};
-use crate::evidence::Pooled;
+use crate::evidence::EvidencePool;
 use crate::registry::{Copies, Registry};
 use crate::relays::Relays;
 use crate::settings::Settings;
@@ -83,7 +83,7 @@
     changed: Notify,
     synced: RefCell<HashMap<[u8; 4], (u64, Instant)>>,
     relays: RefCell<Relays>,
-    evidence: RefCell<Pooled>,
+    evidence: RefCell<EvidencePool>,
     is_planning: Cell<bool>,
     /// How long after its start it was sure of what it holds for the first time.
     sure_after: Cell<Option<Duration>>,
--- a/crates/onyxstile-system/src/role/controller/peers.rs
+++ b/crates/onyxstile-system/src/role/controller/peers.rs
@@ -64,10 +64,10 @@
         }
         if pull.wants_endpoints {
             let relay = Relay { name: pull.name.clone(), revision: pull.revision };
-            self.relays.borrow_mut().heard(self.clock.now(), pull.ip, relay);
+            self.relays.borrow_mut().note_poll(self.clock.now(), pull.ip, relay);
         }
         if let Some(evidence) = &pull.evidence {
-            self.evidence.borrow_mut().absorb(self.clock.now(), pull.ip, evidence);
+            self.evidence.borrow_mut().note_report(self.clock.now(), pull.ip, evidence);
         }
         // Nobody counts on a controller that has just started and is not sure of anything yet, and all are about to ask again.
         let is_news = |pulled: &Pulled| !self.is_starting() && has_news(pulled, &pull);
--- a/crates/onyxstile-system/src/role/controller/stepping.rs
+++ b/crates/onyxstile-system/src/role/controller/stepping.rs
@@ -10,7 +10,7 @@
 use crate::control::{ElectorId, Message, Operation, Outcome};
 use crate::controller::Input;
 use crate::swim::{Class, Standing};
-use crate::tolerance::Place;
+use crate::tolerance::Location;
 use crate::wire::Request;
 
 /// How often the state machine's clock is looked at.
@@ -38,7 +38,7 @@
         }
     }
 
-    fn live_controllers(&self) -> Vec<(ElectorId, Place)> {
+    fn live_controllers(&self) -> Vec<(ElectorId, Location)> {
         let swim = self.swim.borrow();
         let settings = self.settings.borrow();
         let is_live =
--- a/crates/onyxstile-system/src/role/http.rs
+++ b/crates/onyxstile-system/src/role/http.rs
@@ -13,7 +13,7 @@
 use super::listener::{self, Reading};
 use super::shutdown::Shutdown;
 use crate::clock::SteadyClock;
-use crate::watch::Bounds;
+use crate::connection_watchdog::ConnectionTimeouts;
 
 /// A whole answer.
 pub type Answer = Response<Full<Bytes>>;
@@ -65,7 +65,7 @@
 
 /// What endpoints, operators and the platform are allowed: they keep connections between heartbeats.
 const READING: Reading = Reading {
-    bounds: Bounds { head: Duration::from_secs(3), rest: Duration::from_secs(60) },
+    bounds: ConnectionTimeouts { head: Duration::from_secs(3), idle: Duration::from_secs(60) },
     head_max: None,
 };
 
--- a/crates/onyxstile-system/src/role/listener.rs
+++ b/crates/onyxstile-system/src/role/listener.rs
@@ -21,7 +21,7 @@
 use super::socket;
 use super::watched::{State, Watched};
 use crate::clock::SteadyClock;
-use crate::watch::Bounds;
+use crate::connection_watchdog::ConnectionTimeouts;
 
 /// Pause after a failure to accept: descriptors are short, most likely.
 const PAUSE: Duration = Duration::from_millis(20);
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy)]
 pub struct Reading {
     /// How long a connection may stay as it is.
-    pub bounds: Bounds,
+    pub bounds: ConnectionTimeouts,
     /// The longest head, in bytes; the library's own bound if not given.
     pub head_max: Option<usize>,
 }
@@ -133,7 +133,7 @@
     loop {
         let went_on = poll_fn(|context| match connection.as_mut().poll(context) {
             Poll::Ready(result) => Poll::Ready(Some(result)),
-            Poll::Pending if state.is_at_rest() => Poll::Ready(None),
+            Poll::Pending if state.is_idle() => Poll::Ready(None),
             Poll::Pending => {
                 was_at_rest = false;
                 Poll::Pending
--- a/crates/onyxstile-system/src/role/proxy.rs
+++ b/crates/onyxstile-system/src/role/proxy.rs
@@ -40,7 +40,7 @@
 use crate::clock::SteadyClock;
 use crate::configuration::{ClientLimits, Configuration};
 use crate::program::TurnCache;
-use crate::retry::{Destination, Law};
+use crate::retry::{Destination, RetryPolicy};
 use crate::settings::Settings;
 use crate::slots::Slots;
 use crate::storage_plan::StoragePlan;
@@ -88,7 +88,7 @@
     phase: Phase,
     counts: Counts,
     random: RefCell<Pcg64Mcg>,
-    law: Law,
+    retry_policy: RetryPolicy,
 }
 
 /// Runs the role until SIGTERM, and then until what was taken up has been answered.
@@ -141,7 +141,7 @@
             phase: Phase::default(),
             counts: Counts::default(),
             random: RefCell::new(Pcg64Mcg::new(u128::from(life) << 1 | 1)),
-            law: Law::default(),
+            retry_policy: RetryPolicy::default(),
             settings: Rc::new(RefCell::new(settings)),
         }
     }
--- a/crates/onyxstile-system/src/role/proxy/admit.rs
+++ b/crates/onyxstile-system/src/role/proxy/admit.rs
@@ -5,8 +5,8 @@
 
 use super::Node;
 use super::call::Call;
-use crate::admission::Applicant;
-use crate::balance::{EndpointKey, Expected};
+use crate::admission::AdmissionRequest;
+use crate::balance::{EndpointKey, PendingStream};
 
 impl Node {
     /// When the client of a stream that goes on from nothing may come back, if no program may begin now with it.
@@ -15,15 +15,15 @@
             return None;
         }
         let name = call.turn.as_ref().map_or(call.id.as_str(), |turn| turn.program.as_str());
-        let applicant = Applicant { name, priority: call.route.priority, left_ms: call.finish_ms };
-        self.endpoints.borrow_mut().refuse(self.clock.now(), &call.service, applicant)
+        let request = AdmissionRequest { name, priority: call.route.priority, remaining_ms: call.finish_ms };
+        self.endpoints.borrow_mut().check_admission(self.clock.now(), &call.service, request)
     }
 }
 
 /// A first event that is waited for; dropped, it is no more.
 pub(super) struct Awaited {
     node: Rc<Node>,
-    expected: Option<Expected>,
+    expected: Option<PendingStream>,
 }
 
 impl Awaited {
@@ -38,7 +38,7 @@
     /// It has come.
     pub(super) fn came(&self) {
         if let Some(expected) = &self.expected {
-            self.node.endpoints.borrow_mut().stream_began(self.node.clock.now(), expected);
+            self.node.endpoints.borrow_mut().stream_started(self.node.clock.now(), expected);
         }
     }
 }
@@ -46,7 +46,7 @@
 impl Drop for Awaited {
     fn drop(&mut self) {
         if let Some(expected) = &self.expected {
-            self.node.endpoints.borrow_mut().stream_not_awaited(expected);
+            self.node.endpoints.borrow_mut().stream_wait_ended(expected);
         }
     }
 }
--- a/crates/onyxstile-system/src/role/proxy/attempt.rs
+++ b/crates/onyxstile-system/src/role/proxy/attempt.rs
@@ -126,7 +126,7 @@
         if let Some(load) = text(&head.headers, "server-load").and_then(Load::parse)
             && let Some(endpoint) = self.endpoints.borrow_mut().get_mut(key)
         {
-            endpoint.tell(self.clock.now(), load);
+            endpoint.note_load(self.clock.now(), load);
         }
         // An answer to another request of an earlier call: nothing on this connection can be trusted.
         if text(&head.headers, "request-id").is_some_and(|id| id != call.id) {
@@ -179,7 +179,7 @@
         let mut endpoints = self.endpoints.borrow_mut();
         let Some(endpoint) = endpoints.get_mut(key) else { return };
         match attempt {
-            Attempt::Whole(head, _) if head.status.is_server_error() => endpoint.erred(now),
+            Attempt::Whole(head, _) if head.status.is_server_error() => endpoint.failed_with_error(now),
             Attempt::Whole(..) | Attempt::Streaming(_) => endpoint.succeeded(now, Some(now.since(began))),
             Attempt::NotExecuted => {}
             Attempt::NotSent => {
--- a/crates/onyxstile-system/src/role/proxy/call.rs
+++ b/crates/onyxstile-system/src/role/proxy/call.rs
@@ -9,8 +9,8 @@
 
 use crate::clock::Instant;
 use crate::configuration::{Configuration, Route, RouteType};
-use crate::draw::place_of;
 use crate::prefix::{self, Part};
+use crate::unit_hash::unit_hash;
 
 /// A request without a deadline of its own has this long, in ms.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
@@ -79,7 +79,7 @@
         let whole = |name: &str| text(name).and_then(|value| value.trim().parse::<u64>().ok());
         let deadline_ms = whole("deadline-ms").unwrap_or(DEFAULT_DEADLINE_MS);
         let held_ms = deadline_ms.min(route.timeout_ms);
-        let split_by = text("session").map_or(roll, place_of);
+        let split_by = text("session").map_or(roll, unit_hash);
         let is_stream = route.route_type == RouteType::Streaming;
         let turn = match (text("program"), whole("budget")) {
             (Some(program), Some(budget)) if is_stream => {
--- a/crates/onyxstile-system/src/role/proxy/conversation.rs
+++ b/crates/onyxstile-system/src/role/proxy/conversation.rs
@@ -8,7 +8,9 @@
 use super::call::{Call, TurnHead};
 use super::chain::Chain;
 use super::no_turn::{BEFORE_PATIENCE, NoTurn};
-use crate::program::{Admission, ClaimSummary, Entry, Record, Turn, admit, fits, is_first, merge_claims};
+use crate::program::{
+    BudgetDecision, ClaimEntry, ClaimSummary, Record, Turn, admit, fits_budget, is_first, merge_claims,
+};
 use crate::role::membership::wall_clock_ms;
 use crate::wire::{Request, Response};
 
@@ -43,8 +45,8 @@
             return;
         }
         let settled = Some(self.delivered.get());
-        let entry = Entry { request: self.request.clone(), most: self.most, settled };
-        let record = Record::Entry { program: self.program.clone(), entry };
+        let entry = ClaimEntry { request: self.request.clone(), max_tokens: self.most, settled };
+        let record = Record::ClaimEntry { program: self.program.clone(), entry };
         let (node, key) = (self.node.clone(), self.program.clone());
         let work = node.phase.shutdown().enter();
         tokio::task::spawn_local(async move {
@@ -67,7 +69,7 @@
     /// Claims the most that a turn may generate; `None` where the call is no turn with a budget.
     pub(super) async fn claim(self: &Rc<Node>, call: &Call) -> Result<Option<Claim>, NoTurn> {
         let Some(head) = &call.turn else { return Ok(None) };
-        let entry = Entry { request: call.id.clone(), most: head.most, settled: None };
+        let entry = ClaimEntry { request: call.id.clone(), max_tokens: head.most, settled: None };
         let mut claim = Claim {
             node: self.clone(),
             program: head.program.clone(),
@@ -85,29 +87,29 @@
             .collect();
         claim.is_first = is_first(&call.id, &summaries);
         let fits = match admit(head.budget, &call.id, head.most, &summaries) {
-            Admission::Fits => true,
-            Admission::Spent => false,
-            Admission::Unsure => self.fits_all_claims(head, &entry, patience).await?,
+            BudgetDecision::Fits => true,
+            BudgetDecision::Exhausted => false,
+            BudgetDecision::Inconclusive => self.fits_all_claims(head, &entry, patience).await?,
         };
         if fits { Ok(Some(claim)) } else { Err(NoTurn::Spent) }
     }
 
     /// Whether a turn fits beside all claims, told one by one.
     async fn fits_all_claims(
-        self: &Rc<Node>, head: &TurnHead, entry: &Entry, patience: Duration,
+        self: &Rc<Node>, head: &TurnHead, entry: &ClaimEntry, patience: Duration,
     ) -> Result<bool, NoTurn> {
-        let mut claims: Vec<Entry> = Vec::new();
+        let mut claims: Vec<ClaimEntry> = Vec::new();
         for answer in self.reserve(head, entry, true, patience).await? {
             if let Response::Claims(entries) = answer {
                 merge_claims(&mut claims, entries);
             }
         }
-        Ok(fits(head.budget, &entry.request, entry.most, &claims))
+        Ok(fits_budget(head.budget, &entry.request, entry.max_tokens, &claims))
     }
 
     /// Writes a claim to a quorum; what its members answer.
     async fn reserve(
-        self: &Rc<Node>, head: &TurnHead, entry: &Entry, wants_all: bool, patience: Duration,
+        self: &Rc<Node>, head: &TurnHead, entry: &ClaimEntry, wants_all: bool, patience: Duration,
     ) -> Result<Vec<Response>, NoTurn> {
         let (program, entry) = (head.program.clone(), entry.clone());
         let request =
--- a/crates/onyxstile-system/src/role/proxy/counted.rs
+++ b/crates/onyxstile-system/src/role/proxy/counted.rs
@@ -21,10 +21,10 @@
 impl Counted {
     pub(super) fn new(node: Rc<Node>, key: DestinationKey, is_first: bool) -> Counted {
         let counted = Counted { node, key, endpoint: None, is_late: false };
-        let law = counted.node.law.clone();
+        let policy = counted.node.retry_policy.clone();
         counted.with(
             |destination, now| {
-                if is_first { destination.first_send(now, &law) } else { destination.resend() }
+                if is_first { destination.first_send(now, &policy) } else { destination.resend() }
             },
         );
         counted
@@ -37,19 +37,19 @@
         let mut destinations = self.node.destinations.borrow_mut();
         let destination = destinations
             .entry(self.key.clone())
-            .or_insert_with(|| Destination::new(now, slots, &self.node.law));
+            .or_insert_with(|| Destination::new(now, slots, &self.node.retry_policy));
         act(destination, now)
     }
 
     /// The chance that a firing resends the call.
-    pub(super) fn chance(&self) -> f64 {
-        let law = self.node.law.clone();
-        self.with(|destination, now| destination.chance(now, &law))
+    pub(super) fn resend_probability(&self) -> f64 {
+        let policy = self.node.retry_policy.clone();
+        self.with(|destination, now| destination.resend_probability(now, &policy))
     }
 
     /// When a timer that is due at `due` may fire.
-    pub(super) fn fires_at(&self, due: crate::clock::Instant) -> crate::clock::Instant {
-        self.with(|destination, _| destination.fires_at(due))
+    pub(super) fn fire_time(&self, due: crate::clock::Instant) -> crate::clock::Instant {
+        self.with(|destination, _| destination.fire_time(due))
     }
 
     /// Takes a slot for a send to `endpoint`; false if there is none before `ends`.
--- a/crates/onyxstile-system/src/role/proxy/feed.rs
+++ b/crates/onyxstile-system/src/role/proxy/feed.rs
@@ -37,7 +37,7 @@
                 self.pools.drop_idle(key);
             }
         }
-        self.endpoints.borrow_mut().hear(now, &feed.evidence);
+        self.endpoints.borrow_mut().merge_evidence(now, &feed.evidence);
         self.forget_endpoints();
         if feed.is_fresh && self.configuration.borrow().is_some() {
             self.phase.become_ready(now);
--- a/crates/onyxstile-system/src/role/proxy/figures.rs
+++ b/crates/onyxstile-system/src/role/proxy/figures.rs
@@ -49,8 +49,8 @@
         };
         let usable = each(&|service| endpoints.usable(service) as f64);
         figures.gauges("endpoints_usable", "Endpoints that may be called.", "service", &usable);
-        let stretch = each(&|service| endpoints.stretch(now, service));
-        figures.gauges("stretch", "Time of streams over their time at idle endpoints.", "service", &stretch);
+        let slowdown = each(&|service| endpoints.slowdown(now, service));
+        figures.gauges("stretch", "Time of streams over their time at idle endpoints.", "service", &slowdown);
         let level = each(&|service| endpoints.level(service));
         figures.gauges("admission_level", "Part of the programs that may begin.", "service", &level);
         let reading = each(&|service| endpoints.token_ms(service));
--- a/crates/onyxstile-system/src/role/proxy/lifetime.rs
+++ b/crates/onyxstile-system/src/role/proxy/lifetime.rs
@@ -10,12 +10,12 @@
 use super::{Node, forward};
 use crate::clock::Instant;
 use crate::configuration::ClientLimits;
+use crate::connection_watchdog::ConnectionTimeouts;
 use crate::role::http::{Answer, text};
 use crate::role::listener::{self, Reading};
 use crate::role::shortest_grace::ShortestGrace;
 use crate::role::shutdown::Work;
 use crate::role::signals::Termination;
-use crate::watch::Bounds;
 
 /// The platform takes a relay out after two misses, a second apart; until then clients still come.
 const STILL_OFFERED: Duration = Duration::from_millis(2600);
@@ -47,9 +47,9 @@
 }
 
 fn reading(limits: &ClientLimits) -> Reading {
-    let bounds = Bounds {
+    let bounds = ConnectionTimeouts {
         head: Duration::from_millis(limits.header_timeout_ms),
-        rest: Duration::from_millis(limits.idle_timeout_ms),
+        idle: Duration::from_millis(limits.idle_timeout_ms),
     };
     Reading { bounds, head_max: Some(limits.max_header_bytes.max(HEAD_MIN)) }
 }
--- a/crates/onyxstile-system/src/role/proxy/relay_stream.rs
+++ b/crates/onyxstile-system/src/role/proxy/relay_stream.rs
@@ -14,7 +14,7 @@
 use super::conversation::Claim;
 use super::phase::Entered;
 use super::sending::Sending;
-use crate::balance::EVENTS_NOTED;
+use crate::balance::EVENTS_PER_SAMPLE;
 use crate::clock::Instant;
 use crate::sse::{Event, Splitter};
 
@@ -121,7 +121,7 @@
         let mut next = std::mem::take(&mut self.stream.first);
         loop {
             let events = splitter.push(&next);
-            if splitter.is_overfull() {
+            if splitter.is_over_limit() {
                 return End::Broken;
             }
             passed.events += events.iter().filter(|event| event.data.is_some()).count() as u32;
@@ -148,11 +148,11 @@
     /// Notes how fast events come, some at a time.
     fn note_progress(&self, events: u32, noted: &mut Noted) {
         let count = events - noted.events;
-        if count >= EVENTS_NOTED
+        if count >= EVENTS_PER_SAMPLE
             && let Some(key) = self.sending.tried.last()
         {
             let now = self.node.clock.now();
-            self.node.endpoints.borrow_mut().stream_went_on(now, *key, count, now.since(noted.at));
+            self.node.endpoints.borrow_mut().stream_progressed(now, *key, count, now.since(noted.at));
             *noted = Noted { events, at: now };
         }
     }
--- a/crates/onyxstile-system/src/role/proxy/sending.rs
+++ b/crates/onyxstile-system/src/role/proxy/sending.rs
@@ -153,15 +153,15 @@
             self.firings += 1;
             let fires = match &self.counted {
                 // An endpoint's wait holds sends there; other endpoints of the service may take the call meanwhile.
-                Some(counted) if matches!(counted.key, DestinationKey::Service(_)) => counted.fires_at(due),
+                Some(counted) if matches!(counted.key, DestinationKey::Service(_)) => counted.fire_time(due),
                 _ => due,
             };
             if fires >= self.call.ends {
                 return false;
             }
             tokio::time::sleep(fires.since(node.clock.now())).await;
-            let chance = self.counted.as_ref().map_or(1.0, Counted::chance);
-            if node.roll() < chance {
+            let probability = self.counted.as_ref().map_or(1.0, Counted::resend_probability);
+            if node.roll() < probability {
                 return true;
             }
         }
--- a/crates/onyxstile-system/src/role/proxy/target.rs
+++ b/crates/onyxstile-system/src/role/proxy/target.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::sending::Sending;
-use crate::balance::{EndpointKey, Need};
+use crate::balance::{CallRequirements, EndpointKey};
 
 /// A call that may be repeated is given up at an endpoint after this many times the usual latency there.
 const SILENCE_FACTOR: f64 = 5.0;
@@ -15,7 +15,7 @@
         let is_used_up = self.tried.len() >= self.call.route.max_attempts as usize;
         let only = is_used_up.then_some(self.tried.as_slice());
         let program = self.call.turn.as_ref().map(|turn| turn.program.as_str());
-        let mut need = Need {
+        let mut requirements = CallRequirements {
             service: &self.call.service,
             parts: &self.call.parts,
             program,
@@ -24,10 +24,10 @@
             only,
         };
         let endpoints = node.endpoints.borrow();
-        let (now, roll) = (node.clock.now(), node.roll());
-        endpoints.choose(now, &need, roll).or_else(|| {
-            need.excluded = &[];
-            endpoints.choose(now, &need, roll)
+        let (now, random) = (node.clock.now(), node.roll());
+        endpoints.choose(now, &requirements, random).or_else(|| {
+            requirements.excluded = &[];
+            endpoints.choose(now, &requirements, random)
         })
     }
 
--- a/crates/onyxstile-system/src/role/storage.rs
+++ b/crates/onyxstile-system/src/role/storage.rs
@@ -25,7 +25,7 @@
 use super::subscription::{self, Wishes};
 use super::{metrics, socket};
 use crate::clock::SteadyClock;
-use crate::known::News;
+use crate::feed_state::FeedUpdate;
 use crate::program::{Key, Progress, RecordIndex, RecordNumber, TurnCache, groups};
 use crate::settings::Settings;
 use crate::storage_plan::StoragePlan;
@@ -137,7 +137,7 @@
         let wishes = Wishes { relay: None, wait: POLL_WAIT, synced_epoch: self.synced_epoch.clone() };
         let mut news = subscription::follow(self.settings.clone(), self.client.clone(), wishes);
         while let Some(item) = news.recv().await {
-            if let News::State(published) = item {
+            if let FeedUpdate::State(published) = item {
                 self.clone().take_plan(published.storage).await;
             }
         }
@@ -146,8 +146,8 @@
     async fn keep_house(self: Rc<Node>) {
         loop {
             tokio::time::sleep(HOUSEKEEPING).await;
-            let superfluous = self.index.borrow_mut().expire(self.clock.now());
-            self.journal.drop_records(superfluous);
+            let obsolete = self.index.borrow_mut().expire(self.clock.now());
+            self.journal.drop_records(obsolete);
             if self.is_index_full() {
                 log::warn!("writes are refused: no memory left for the index of records");
             }
--- a/crates/onyxstile-system/src/role/storage/answers.rs
+++ b/crates/onyxstile-system/src/role/storage/answers.rs
@@ -5,7 +5,7 @@
 
 use super::Node;
 use super::records::Lookup;
-use crate::program::{Entry, Record};
+use crate::program::{ClaimEntry, Record};
 use crate::role::rpc::Answer;
 use crate::wire::{Request, Response};
 
@@ -64,14 +64,14 @@
         Response::Turns { turns, is_sure: is_sure && is_read }
     }
 
-    async fn reserve(&self, epoch: u64, program: String, entry: Entry, wants_all: bool) -> Response {
+    async fn reserve(&self, epoch: u64, program: String, entry: ClaimEntry, wants_all: bool) -> Response {
         if let Some(stale) = self.stale(epoch) {
             return stale;
         }
         if !self.is_whole.get() {
             return Response::Refused;
         }
-        let record = Record::Entry { program: program.clone(), entry };
+        let record = Record::ClaimEntry { program: program.clone(), entry };
         match self.write_by(epoch, vec![record]).await {
             Response::Done => {}
             other => return other,
--- a/crates/onyxstile-system/src/role/storage/opening.rs
+++ b/crates/onyxstile-system/src/role/storage/opening.rs
@@ -72,16 +72,16 @@
             epoch: 0,
             has_lost: false,
         };
-        let mut superfluous = Vec::new();
+        let mut obsolete = Vec::new();
         for step in loading.iter() {
             match step {
                 Loading::Records(records) => {
                     for (number, bytes) in records {
-                        superfluous.extend(found.take_in(now, number, &bytes));
+                        obsolete.extend(found.take_in(now, number, &bytes));
                     }
                 }
                 Loading::Done { is_sound } => {
-                    found.journal.drop_records(superfluous);
+                    found.journal.drop_records(obsolete);
                     return Ok((found, is_sound));
                 }
                 Loading::Failed(error) => return Err(unreadable(&error.to_string())),
@@ -102,7 +102,7 @@
             Ok(Stored::Epoch(epoch)) => self.epoch = epoch,
             Ok(Stored::Record { record, written_ms }) => {
                 let age = Duration::from_millis(wall_clock_ms().saturating_sub(written_ms));
-                return self.index.merge(now, age, &record, number).superfluous;
+                return self.index.merge(now, age, &record, number).obsolete;
             }
             Err(error) => log::error!("record {number} of the log can't be read: {error}"),
         }
--- a/crates/onyxstile-system/src/role/storage/records.rs
+++ b/crates/onyxstile-system/src/role/storage/records.rs
@@ -74,16 +74,16 @@
     fn take_in(&self, records: Vec<(RecordNumber, Record)>) {
         let now = self.clock.now();
         let mut has_changed = false;
-        let mut superfluous = Vec::new();
+        let mut obsolete = Vec::new();
         for (number, record) in records {
             let merge = self.index.borrow_mut().merge(now, Duration::ZERO, &record, number);
             has_changed |= merge.has_changed;
-            superfluous.extend(merge.superfluous);
+            obsolete.extend(merge.obsolete);
             if let Record::Turn(turn) = record {
                 self.turns.borrow_mut().insert(turn);
             }
         }
-        self.journal.drop_records(superfluous);
+        self.journal.drop_records(obsolete);
         if has_changed {
             self.changed.notify_waiters();
         }
@@ -140,16 +140,16 @@
             .iter()
             .filter_map(|key| match key {
                 Key::Turn(id) => Some(id.clone()),
-                Key::Entry(..) => None,
+                Key::ClaimEntry(..) => None,
             })
             .collect();
         let turns = self.turns(&ids).await.into_iter().filter_map(Lookup::turn).map(Record::Turn);
         let index = self.index.borrow();
         let claims = keys.iter().filter_map(|key| match key {
             Key::Turn(_) => None,
-            Key::Entry(program, request) => {
+            Key::ClaimEntry(program, request) => {
                 let entry = index.claim(program, request)?.clone();
-                Some(Record::Entry { program: program.clone(), entry })
+                Some(Record::ClaimEntry { program: program.clone(), entry })
             }
         });
         turns.chain(claims).collect()
--- a/crates/onyxstile-system/src/role/storage/repair.rs
+++ b/crates/onyxstile-system/src/role/storage/repair.rs
@@ -8,7 +8,7 @@
 use super::Node;
 use super::journal::Stored;
 use super::opening::{EPOCH, SYNCED, WHOLE};
-use crate::program::{Copied, Key, Source};
+use crate::program::{CopiedChanges, Key, Source};
 use crate::storage_plan::StoragePlan;
 use crate::wire::{Request, Response};
 
@@ -38,7 +38,7 @@
         }
         *self.plan.borrow_mut() = plan.clone();
         log::info!("storage epoch {} with {} members", plan.epoch, plan.current.len());
-        let fresh = self.repair.borrow_mut().take_plan(self.own(), &before, &plan);
+        let fresh = self.repair.borrow_mut().apply_plan(self.own(), &before, &plan);
         for ip in fresh {
             tokio::task::spawn_local(self.clone().copy_from(ip));
         }
@@ -48,10 +48,10 @@
     async fn copy_from(self: Rc<Node>, ip: Ipv4Addr) {
         while self.repair.borrow().is_member(ip) {
             let source = self.repair.borrow().source(ip);
-            let is_complete = self.repair.borrow().is_complete(ip, self.plan.borrow().epoch);
-            let wait = if is_complete { WAIT } else { Duration::ZERO };
+            let is_copied = self.repair.borrow().is_copied(ip, self.plan.borrow().epoch);
+            let wait = if is_copied { WAIT } else { Duration::ZERO };
             let request = Request::Changes {
-                origin: source.origin,
+                origin: source.incarnation,
                 counter: source.counter,
                 wait_ms: wait.as_millis() as u64,
             };
@@ -61,8 +61,8 @@
             }
             self.review();
             let has_more = self.repair.borrow().source(ip).counter > source.counter;
-            let is_complete = self.repair.borrow().is_complete(ip, self.plan.borrow().epoch);
-            if !is_complete && !has_more {
+            let is_copied = self.repair.borrow().is_copied(ip, self.plan.borrow().epoch);
+            if !is_copied && !has_more {
                 tokio::time::sleep(PAUSE).await;
             }
         }
@@ -74,11 +74,19 @@
         else {
             return;
         };
-        let looked_by = self.plan.borrow().epoch;
+        let evaluated_epoch = self.plan.borrow().epoch;
         if !self.fetch_missing(ip, keys).await {
             return;
         }
-        let copied = Copied { origin, counter, is_last, epoch, is_whole, synced_epoch, looked_by };
+        let copied = CopiedChanges {
+            incarnation: origin,
+            counter,
+            is_last,
+            epoch,
+            is_complete: is_whole,
+            synced_epoch,
+            evaluated_epoch,
+        };
         let own_epoch = self.plan.borrow().epoch;
         self.repair.borrow_mut().note(self.clock.now(), ip, before, copied, own_epoch);
     }
@@ -119,7 +127,7 @@
             was_whole,
             self.tolerance(),
         );
-        if assessment.is_whole && !was_whole {
+        if assessment.is_complete && !was_whole {
             self.is_whole.set(true);
             log::info!("copied what this machine should hold by epoch {}", plan.epoch);
             self.journal.append_later(WHOLE, &Stored::Whole);
--- a/crates/onyxstile-system/src/role/subscription.rs
+++ b/crates/onyxstile-system/src/role/subscription.rs
@@ -15,7 +15,7 @@
 
 use super::rpc::Client;
 use crate::evidence::Evidence;
-use crate::known::News;
+use crate::feed_state::FeedUpdate;
 use crate::settings::Settings;
 use crate::wire::{Pull, Pulled, Request, Response};
 use state::State;
@@ -45,14 +45,14 @@
     settings: Rc<RefCell<Settings>>,
     client: Client,
     wishes: Wishes,
-    news: mpsc::UnboundedSender<News>,
+    news: mpsc::UnboundedSender<FeedUpdate>,
     state: RefCell<State>,
 }
 
 /// Begins to follow the controllers.
 pub fn follow(
     settings: Rc<RefCell<Settings>>, client: Client, wishes: Wishes,
-) -> mpsc::UnboundedReceiver<News> {
+) -> mpsc::UnboundedReceiver<FeedUpdate> {
     let (news, receiver) = mpsc::unbounded_channel();
     let state = RefCell::default();
     let subscription = Rc::new(Subscription { settings, client, wishes, news, state });
@@ -186,10 +186,10 @@
             self.absorb_relays(&mut state, controller, count);
         }
         if !pulled.endpoints.is_empty() {
-            self.tell(News::Endpoints(pulled.endpoints));
+            self.tell(FeedUpdate::Endpoints(pulled.endpoints));
         }
         if !pulled.evidence.is_empty() {
-            self.tell(News::Evidence(pulled.evidence));
+            self.tell(FeedUpdate::Evidence(pulled.evidence));
         }
         if self.wishes.relay.is_some() {
             state.registries.insert(controller, (pulled.origin, pulled.counter));
@@ -200,7 +200,7 @@
             if let Some(configuration) = &published.configuration {
                 state.revision = configuration.revision;
             }
-            self.tell(News::State(published));
+            self.tell(FeedUpdate::State(published));
         }
         let is_behind = state.is_behind();
         let is_complete = state.hears_majority() && !is_behind;
@@ -219,7 +219,7 @@
         state.relays.insert(controller, count);
         let after = state.most_relays();
         if let Some(most) = after.filter(|_| after != before) {
-            self.tell(News::Relays(most));
+            self.tell(FeedUpdate::Relays(most));
         }
     }
 
@@ -228,11 +228,11 @@
         if !state.is_fresh {
             state.is_fresh = true;
             drop(state);
-            self.tell(News::Fresh);
+            self.tell(FeedUpdate::Fresh);
         }
     }
 
-    fn tell(&self, news: News) {
+    fn tell(&self, news: FeedUpdate) {
         if self.news.send(news).is_err() {
             log::error!("nobody takes news any more");
         }
--- a/crates/onyxstile-system/src/role/watched.rs
+++ b/crates/onyxstile-system/src/role/watched.rs
@@ -15,7 +15,7 @@
 
 use super::linger::Linger;
 use crate::clock::SteadyClock;
-use crate::watch::{Bounds, Overdue, Watch};
+use crate::connection_watchdog::{ConnectionTimeouts, ConnectionWatchdog, Overdue};
 
 /// How often a connection on which a request is answered is looked at.
 const LOOK: Duration = Duration::from_secs(5);
@@ -33,7 +33,7 @@
 #[derive(Clone)]
 pub struct State {
     clock: SteadyClock,
-    watch: Rc<RefCell<Watch>>,
+    watch: Rc<RefCell<ConnectionWatchdog>>,
     /// Bytes of an answer wait for the client to read.
     is_blocked: Rc<Cell<bool>>,
 }
@@ -51,8 +51,8 @@
     }
 
     /// Whether nothing is due on the connection: no answer is made, none leaves, and no head has begun.
-    pub fn is_at_rest(&self) -> bool {
-        self.watch.borrow().is_at_rest() && !self.is_blocked.get()
+    pub fn is_idle(&self) -> bool {
+        self.watch.borrow().is_idle() && !self.is_blocked.get()
     }
 }
 
@@ -64,18 +64,18 @@
 
 impl Watched {
     /// Begins to watch a connection that has just come.
-    pub fn new(stream: TcpStream, clock: SteadyClock, bounds: Bounds) -> (Watched, State) {
-        let watch = Rc::new(RefCell::new(Watch::new(clock.now(), bounds)));
+    pub fn new(stream: TcpStream, clock: SteadyClock, bounds: ConnectionTimeouts) -> (Watched, State) {
+        let watch = Rc::new(RefCell::new(ConnectionWatchdog::new(clock.now(), bounds)));
         let state = State { clock, watch, is_blocked: Rc::default() };
         let peer = stream.peer_addr().ok();
-        let sleep = Box::pin(tokio::time::sleep(bounds.rest));
+        let sleep = Box::pin(tokio::time::sleep(bounds.idle));
         (Watched { stream, peer, state: state.clone(), sleep, linger: None }, state)
     }
 
     /// Ready once the connection is overdue. It reads as ended by the client then, so that its close is one in order.
     fn poll_overdue(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         loop {
-            let left = match self.state.watch.borrow().ends() {
+            let left = match self.state.watch.borrow().deadline() {
                 Some((ends, why)) => {
                     let left = ends.since(self.state.clock.now());
                     if left.is_zero() {
@@ -97,7 +97,7 @@
     fn tell(&self, why: Overdue) {
         match why {
             Overdue::Head => log::info!("client {}: the head of a request did not end in time", self.peer()),
-            Overdue::Rest => log::debug!("client {}: the connection has rested too long", self.peer()),
+            Overdue::Idle => log::debug!("client {}: the connection has rested too long", self.peer()),
         }
     }
 
@@ -110,7 +110,7 @@
     fn note_sent(&self, sent: &Poll<io::Result<usize>>, length: usize) {
         let mut watch = self.state.watch.borrow_mut();
         // Events of a stream leave all the time; while it lasts nothing is timed.
-        if matches!(sent, Poll::Ready(Ok(1..))) && watch.ends().is_some() {
+        if matches!(sent, Poll::Ready(Ok(1..))) && watch.deadline().is_some() {
             watch.sent(self.state.clock.now());
         }
         // What did not leave at once is written again; the last of it leaves whole.
--- a/crates/onyxstile-system/src/settings.rs
+++ b/crates/onyxstile-system/src/settings.rs
@@ -10,7 +10,7 @@
 use quick_error::quick_error;
 use serde::Deserialize;
 
-use crate::tolerance::{Place, Tolerance};
+use crate::tolerance::{Location, Tolerance};
 pub use metrics_address::{MetricsAddress, MetricsAddressError};
 
 /// The variable that holds the path of the settings file.
@@ -201,9 +201,9 @@
     }
 
     /// Where a machine of `zone` stands.
-    pub fn place(&self, zone: &str) -> Place {
+    pub fn place(&self, zone: &str) -> Location {
         let region = self.zones.get(zone).cloned().unwrap_or_default();
-        Place { region, zone: zone.to_owned() }
+        Location { region, zone: zone.to_owned() }
     }
 
     /// How long a process has between SIGTERM and the kill.
--- a/crates/onyxstile-system/src/slots.rs
+++ b/crates/onyxstile-system/src/slots.rs
@@ -7,7 +7,7 @@
 use std::hash::Hash;
 
 /// While calls run past their aim, a destination's cap falls to this share of it.
-const TIGHTENED: f64 = 0.5;
+const LATE_CAP_FACTOR: f64 = 0.5;
 /// Weight of a call in a destination's share of late calls.
 const LATE_WEIGHT: f64 = 0.1;
 
@@ -80,7 +80,7 @@
     fn is_at_cap(&self, destination: &K) -> bool {
         let Some(held) = self.held.get(destination) else { return false };
         let half = f64::from(self.total) / 2.0;
-        let cap = half * (1.0 - (1.0 - TIGHTENED) * held.late_share);
+        let cap = half * (1.0 - (1.0 - LATE_CAP_FACTOR) * held.late_share);
         f64::from(held.calls) >= cap.max(1.0)
     }
 }
--- a/crates/onyxstile-system/src/sse.rs
+++ b/crates/onyxstile-system/src/sse.rs
@@ -12,7 +12,7 @@
 }
 
 /// Most bytes of one event; a stream with a longer one is broken.
-const EVENT_MAX: usize = 1024 * 1024;
+const EVENT_BYTES_MAX: usize = 1024 * 1024;
 
 /// Bytes that have come and are no whole event yet.
 #[derive(Debug, Default)]
@@ -40,8 +40,8 @@
     }
 
     /// Whether the event that has been begun is longer than any may be.
-    pub fn is_overfull(&self) -> bool {
-        self.rest.len() > EVENT_MAX
+    pub fn is_over_limit(&self) -> bool {
+        self.rest.len() > EVENT_BYTES_MAX
     }
 }
 
--- a/crates/onyxstile-system/src/storage_plan.rs
+++ b/crates/onyxstile-system/src/storage_plan.rs
@@ -10,7 +10,7 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-use crate::tolerance::{Place, Tolerance};
+use crate::tolerance::{Location, Tolerance};
 
 /// One storage machine with one particular disk. With another disk it is another member: what was acknowledged by the one
 /// is no word of the other's, so the plan changes, and writes that go by the plan before are refused.
@@ -23,7 +23,7 @@
     /// The id of its disk.
     pub disk: u64,
     /// Where it stands.
-    pub place: Place,
+    pub place: Location,
 }
 
 impl StorageNode {
@@ -99,7 +99,7 @@
     /// Whether each key has the same groups by this plan as by another: the same machines at the same places, whatever disks
     /// they have.
     pub fn places_as(&self, other: &StoragePlan) -> bool {
-        let stands = |nodes: &[StorageNode]| -> Vec<([u8; 4], Place)> {
+        let stands = |nodes: &[StorageNode]| -> Vec<([u8; 4], Location)> {
             nodes.iter().map(|node| (node.ip, node.place.clone())).collect()
         };
         stands(&self.current) == stands(&other.current)
@@ -162,7 +162,7 @@
         let is_enough = if has_waited {
             current.len() > tolerance.losses()
         } else {
-            tolerance.is_borne_by(&places(&current))
+            tolerance.can_be_met_by(&places(&current))
         };
         is_enough.then(|| StoragePlan {
             epoch: 1,
@@ -173,12 +173,12 @@
     }
 }
 
-fn places(nodes: &[StorageNode]) -> Vec<&Place> {
+fn places(nodes: &[StorageNode]) -> Vec<&Location> {
     nodes.iter().map(|node| &node.place).collect()
 }
 
 /// Whether members may be given up: enough are left, and a loss that was borne before is borne after.
 fn may_shrink(before: &[StorageNode], after: &[StorageNode], tolerance: Tolerance) -> bool {
-    let is_borne = |nodes: &[StorageNode]| tolerance.is_borne_by(&places(nodes));
+    let is_borne = |nodes: &[StorageNode]| tolerance.can_be_met_by(&places(nodes));
     after.len() >= tolerance.group_size() && (is_borne(after) || !is_borne(before))
 }
--- a/crates/onyxstile-system/src/pace.rs
+++ b/crates/onyxstile-system/src/stream_timing.rs
@@ -19,16 +19,16 @@
 /// Calls that the priors stand for.
 const PRIOR_CALLS: f64 = 2.0;
 /// What a call is still worth when the next has come that counts in full: some fifty count.
-const CALL_LEFT: f64 = 0.98;
+const CALL_DECAY: f64 = 0.98;
 /// A turn counts by a quarter where so many others are at work at its endpoint, and less with the fourth power of their number:
 /// what it shows then is how long others make it wait.
-const OTHERS_OF_QUARTER: f64 = 3.0;
+const QUARTER_WEIGHT_LOAD: f64 = 3.0;
 /// What events count at least that are faster than what is known: no load makes them so.
 const FASTER_WEIGHT_MIN: f64 = 0.05;
 /// What a call counts whose unread tokens are a guess.
-const GUESS_WEIGHT: f64 = 0.2;
+const ESTIMATE_WEIGHT: f64 = 0.2;
 /// A time beyond this many times what is expected is cut: it shows trouble, not speed.
-const LONGEST_TIMES: f64 = 4.0;
+const TIME_FACTOR_MAX: f64 = 4.0;
 /// The part of events that are faster than what is taken for the time of one at an idle endpoint.
 const QUANTILE: f64 = 0.25;
 /// The largest step of the quantile for one sample, as a part of it.
@@ -38,28 +38,28 @@
 /// Learnt times stay within this factor of their priors, whatever endpoints show.
 const RANGE: f64 = 64.0;
 /// Calls before what was learnt is acted on.
-const KNOWN_AFTER: f64 = 15.0;
+const WARMUP_CALLS: f64 = 15.0;
 /// Weight of a turn in the usual count of events and of tokens.
-const USUAL_WEIGHT: f64 = 0.02;
+const MEAN_WEIGHT: f64 = 0.02;
 
 /// What one service's streams have shown.
 #[derive(Debug, Clone)]
-pub struct Pace {
-    reading: Line,
+pub struct StreamTiming {
+    reading: LinearFit,
     event_ms: f64,
     samples: f64,
     events: f64,
     new_tokens: f64,
 }
 
-impl Default for Pace {
+impl Default for StreamTiming {
     fn default() -> Self {
         let prior = |tokens: f64| PRIOR_FIRST_MS + tokens * PRIOR_TOKEN_MS;
-        let mut reading = Line::default();
+        let mut reading = LinearFit::default();
         for tokens in [0.0, PRIOR_NEW_TOKENS * 2.0] {
             reading.add(PRIOR_CALLS / 2.0, tokens, prior(tokens));
         }
-        Pace {
+        StreamTiming {
             reading,
             event_ms: PRIOR_EVENT_MS,
             samples: 0.0,
@@ -69,15 +69,16 @@
     }
 }
 
-impl Pace {
+impl StreamTiming {
     /// A first event came after `ms` where `tokens` had to be read; `load` is what the endpoint told with it.
     pub fn note_first_event(&mut self, tokens: f64, is_sure: bool, ms: f64, load: Option<Load>) {
-        let weight = weight(load) * if is_sure { 1.0 } else { GUESS_WEIGHT };
-        let cut = if self.is_known() { ms.min(self.first_event_ms(tokens) * LONGEST_TIMES) } else { ms };
-        self.reading.fade(CALL_LEFT.powf(weight));
-        self.reading.add(weight, tokens, cut);
+        let weight = weight(load) * if is_sure { 1.0 } else { ESTIMATE_WEIGHT };
+        let capped =
+            if self.is_warmed_up() { ms.min(self.first_event_ms(tokens) * TIME_FACTOR_MAX) } else { ms };
+        self.reading.decay(CALL_DECAY.powf(weight));
+        self.reading.add(weight, tokens, capped);
         self.samples += 1.0;
-        self.new_tokens += USUAL_WEIGHT * (tokens - self.new_tokens);
+        self.new_tokens += MEAN_WEIGHT * (tokens - self.new_tokens);
     }
 
     /// `count` events came in `ms`.
@@ -95,12 +96,12 @@
 
     /// A turn ended whole after `events`.
     pub fn note_turn(&mut self, events: u32) {
-        self.events += USUAL_WEIGHT * (f64::from(events) - self.events);
+        self.events += MEAN_WEIGHT * (f64::from(events) - self.events);
     }
 
     /// Whether enough calls were seen for the times to be those of these endpoints.
-    pub fn is_known(&self) -> bool {
-        self.samples >= KNOWN_AFTER
+    pub fn is_warmed_up(&self) -> bool {
+        self.samples >= WARMUP_CALLS
     }
 
     /// The time of reading a token, in ms.
@@ -120,25 +121,25 @@
     }
 
     /// The time for which a usual turn is read, in ms.
-    pub fn usual_reading_ms(&self) -> f64 {
+    pub fn mean_reading_ms(&self) -> f64 {
         self.new_tokens * self.token_ms()
     }
 
     /// The time in which a usual turn's events are written at an idle endpoint, in ms.
-    pub fn usual_writing_ms(&self) -> f64 {
+    pub fn mean_writing_ms(&self) -> f64 {
         self.events * self.event_ms
     }
 }
 
 fn weight(load: Option<Load>) -> f64 {
     let others =
-        load.map_or(OTHERS_OF_QUARTER * 4.0, |load| f64::from(load.running.saturating_add(load.waiting)));
-    (1.0 + (others / OTHERS_OF_QUARTER).powi(2)).powi(-2)
+        load.map_or(QUARTER_WEIGHT_LOAD * 4.0, |load| f64::from(load.running.saturating_add(load.waiting)));
+    (1.0 + (others / QUARTER_WEIGHT_LOAD).powi(2)).powi(-2)
 }
 
 /// A line through weighted points, by least squares.
 #[derive(Debug, Clone, Default)]
-struct Line {
+struct LinearFit {
     weight: f64,
     x: f64,
     y: f64,
@@ -146,7 +147,7 @@
     xy: f64,
 }
 
-impl Line {
+impl LinearFit {
     fn add(&mut self, weight: f64, x: f64, y: f64) {
         self.weight += weight;
         self.x += weight * x;
@@ -155,9 +156,9 @@
         self.xy += weight * x * y;
     }
 
-    fn fade(&mut self, left: f64) {
+    fn decay(&mut self, factor: f64) {
         for sum in [&mut self.weight, &mut self.x, &mut self.y, &mut self.xx, &mut self.xy] {
-            *sum *= left;
+            *sum *= factor;
         }
     }
 
@@ -171,7 +172,7 @@
 
     /// `None` where all points have one `x`.
     fn slope(&self) -> Option<f64> {
-        let spread = self.xx - self.x * self.mean_x();
-        (spread > self.weight).then(|| (self.xy - self.x * self.mean_y()) / spread)
+        let variance = self.xx - self.x * self.mean_x();
+        (variance > self.weight).then(|| (self.xy - self.x * self.mean_y()) / variance)
     }
 }
--- a/crates/onyxstile-system/src/tally.rs
+++ b/crates/onyxstile-system/src/tally.rs
@@ -24,20 +24,20 @@
     }
 
     /// What is left of the counts at `now`.
-    pub fn faded(&self, now: Instant) -> Tally {
-        let left = left_after(now.since(self.counted_at));
+    pub fn decayed(&self, now: Instant) -> Tally {
+        let left = decay_factor(now.since(self.counted_at));
         Tally { failed: self.failed * left, answered: self.answered * left, counted_at: now }
     }
 
     /// Counts a call that was answered.
     pub fn note_answer(&mut self, now: Instant) {
-        *self = self.faded(now);
+        *self = self.decayed(now);
         self.answered += 1.0;
     }
 
     /// Counts a call that has failed.
     pub fn note_failure(&mut self, now: Instant) {
-        *self = self.faded(now);
+        *self = self.decayed(now);
         self.failed += 1.0;
     }
 
@@ -49,11 +49,11 @@
 }
 
 /// What a count of an age is still worth.
-pub fn left_after(age: Duration) -> f64 {
-    left_of(age, HALF_LIFE)
+pub fn decay_factor(age: Duration) -> f64 {
+    half_life_decay(age, HALF_LIFE)
 }
 
 /// What is left at an age of something that loses half in `half_life`.
-pub fn left_of(age: Duration, half_life: Duration) -> f64 {
+pub fn half_life_decay(age: Duration, half_life: Duration) -> f64 {
     0.5f64.powf(age.as_secs_f64() / half_life.as_secs_f64())
 }
--- a/crates/onyxstile-system/src/tolerance.rs
+++ b/crates/onyxstile-system/src/tolerance.rs
@@ -22,7 +22,7 @@
 
 /// Where a machine stands.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
-pub struct Place {
+pub struct Location {
     /// Its region.
     pub region: String,
     /// Its zone.
@@ -47,9 +47,9 @@
 
     /// Chooses a group from candidates in the order of their preference: their indices, best first. Fewer are chosen
     /// only if there are fewer candidates; the caps of zones and regions are exceeded only if no group can keep them.
-    pub fn spread(&self, candidates: &[&Place]) -> Vec<usize> {
+    pub fn select_group(&self, candidates: &[&Location]) -> Vec<usize> {
         let size = self.group_size().min(candidates.len());
-        let mut chosen = self.within_caps(candidates);
+        let mut chosen = self.select_within_caps(candidates);
         if chosen.len() < size {
             let rest: Vec<usize> = (0..candidates.len()).filter(|index| !chosen.contains(index)).collect();
             chosen.extend(rest.into_iter().take(size - chosen.len()));
@@ -59,38 +59,38 @@
     }
 
     /// Whether a group can be made of machines at these places that keeps its majority through every loss.
-    pub fn is_borne_by(&self, places: &[&Place]) -> bool {
-        self.within_caps(places).len() >= self.group_size()
+    pub fn can_be_met_by(&self, locations: &[&Location]) -> bool {
+        self.select_within_caps(locations).len() >= self.group_size()
     }
 
     /// Whether a majority of all these machines, taken as one group, outlasts every loss of zones and regions.
-    pub fn keeps_majority(&self, places: &[&Place]) -> bool {
-        let spared = places.len().saturating_sub(1) / 2;
-        let zones = crowds(places, |place| (&place.region, &place.zone));
-        let regions = crowds(places, |place| &place.region);
-        largest(zones, self.zones) <= spared && largest(regions, self.regions) <= spared
+    pub fn keeps_majority(&self, locations: &[&Location]) -> bool {
+        let spared = locations.len().saturating_sub(1) / 2;
+        let zones = counts_by(locations, |location| (&location.region, &location.zone));
+        let regions = counts_by(locations, |location| &location.region);
+        sum_of_largest(zones, self.zones) <= spared && sum_of_largest(regions, self.regions) <= spared
     }
 
     /// Whether the loss of machines at these places is one that has to be borne.
-    pub fn covers(&self, lost: &[&Place]) -> bool {
-        let zones = crowds(lost, |place| (&place.region, &place.zone)).len();
-        let regions = crowds(lost, |place| &place.region).len();
+    pub fn covers(&self, lost: &[&Location]) -> bool {
+        let zones = counts_by(lost, |location| (&location.region, &location.zone)).len();
+        let regions = counts_by(lost, |location| &location.region).len();
         lost.len() <= self.machines || zones <= self.zones || regions <= self.regions
     }
 
     /// Indices of the first candidates that fill a group without more in a zone or a region than may be lost.
-    fn within_caps(&self, candidates: &[&Place]) -> Vec<usize> {
+    fn select_within_caps(&self, candidates: &[&Location]) -> Vec<usize> {
         let zone_cap = self.losses().checked_div(self.zones).unwrap_or(usize::MAX);
         let region_cap = self.losses().checked_div(self.regions).unwrap_or(usize::MAX);
-        let mut in_zone: BTreeMap<&Place, usize> = BTreeMap::new();
+        let mut in_zone: BTreeMap<&Location, usize> = BTreeMap::new();
         let mut in_region: BTreeMap<&str, usize> = BTreeMap::new();
         let mut chosen = Vec::new();
-        for (index, place) in candidates.iter().enumerate() {
+        for (index, location) in candidates.iter().enumerate() {
             if chosen.len() == self.group_size() {
                 break;
             }
-            let zone = in_zone.entry(place).or_default();
-            let region = in_region.entry(&place.region).or_default();
+            let zone = in_zone.entry(location).or_default();
+            let region = in_region.entry(&location.region).or_default();
             if *zone < zone_cap && *region < region_cap {
                 *zone += 1;
                 *region += 1;
@@ -102,16 +102,16 @@
 }
 
 /// How many stand in each place of a kind.
-fn crowds<'a, K: Ord>(places: &[&'a Place], kind: impl Fn(&'a Place) -> K) -> Vec<usize> {
+fn counts_by<'a, K: Ord>(locations: &[&'a Location], key: impl Fn(&'a Location) -> K) -> Vec<usize> {
     let mut counts: BTreeMap<K, usize> = BTreeMap::new();
-    for place in places {
-        *counts.entry(kind(place)).or_default() += 1;
+    for location in locations {
+        *counts.entry(key(location)).or_default() += 1;
     }
     counts.into_values().collect()
 }
 
 /// The sum of the `most` largest counts.
-fn largest(mut counts: Vec<usize>, most: usize) -> usize {
+fn sum_of_largest(mut counts: Vec<usize>, most: usize) -> usize {
     counts.sort_unstable_by_key(|count| std::cmp::Reverse(*count));
     counts.into_iter().take(most).sum()
 }
--- a/crates/onyxstile-system/src/wire.rs
+++ b/crates/onyxstile-system/src/wire.rs
@@ -11,7 +11,7 @@
 
 use crate::control::Message;
 use crate::evidence::Evidence;
-use crate::program::{ClaimSummary, Entry, Key, Record, Turn};
+use crate::program::{ClaimEntry, ClaimSummary, Key, Record, Turn};
 use crate::registry::{Instance, Told};
 
 /// The version of the internal protocol; a frame of another is refused.
@@ -71,7 +71,7 @@
         /// The program.
         program: String,
         /// The claim.
-        entry: Entry,
+        entry: ClaimEntry,
         /// Whether all claims of the program are wanted, or their summary.
         wants_all: bool,
     },
@@ -129,7 +129,7 @@
     /// The claims of a program, the new one among them.
     Reserved(ClaimSummary),
     /// All claims of a program, the new one among them.
-    Claims(Vec<Entry>),
+    Claims(Vec<ClaimEntry>),
     /// Turns, in the order of the ids; `is_sure` says that what is missing was never written here and not lost either.
     Turns {
         /// A turn for each id that was found.
--- a/crates/onyxstile-system/tests/admission.rs
+++ b/crates/onyxstile-system/tests/admission.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use onyxstile_system::admission::{Admission, Applicant, part_admitted};
+use onyxstile_system::admission::{Admission, AdmissionRequest, admitted_fraction};
 use onyxstile_system::balance::Endpoints;
 use onyxstile_system::load::Load;
 use support::endpoints::{at, prompt, relay};
@@ -12,25 +12,25 @@
 /// The usual time of a turn at an idle endpoint, in ms.
 const TURN_MS: f64 = 180.0;
 
-fn applicant(name: &str, priority: u8) -> Applicant<'_> {
-    Applicant { name, priority, left_ms: Some(4000.0) }
+fn request(name: &str, priority: u8) -> AdmissionRequest<'_> {
+    AdmissionRequest { name, priority, remaining_ms: Some(4000.0) }
 }
 
 /// How many of 1,000 programs may begin.
-fn beginning(admission: &mut Admission, now_ms: u64, priority: u8) -> usize {
+fn admitted_count(admission: &mut Admission, now_ms: u64, priority: u8) -> usize {
     let names: Vec<String> = (0..1000).map(|number| format!("program-{number}")).collect();
     names
         .iter()
-        .filter(|name| admission.refuse(at(now_ms), applicant(name, priority), TURN_MS).is_none())
+        .filter(|name| admission.check(at(now_ms), request(name, priority), TURN_MS).is_none())
         .count()
 }
 
 /// Streams that have taken so many times their idle time for some seconds.
-fn stretched(stretch: f64, seconds: u64) -> Admission {
+fn slowed_admission(slowdown: f64, seconds: u64) -> Admission {
     let mut admission = Admission::default();
     for step in 0..seconds * 10 {
-        admission.note(at(step * 100), 400.0 * stretch, 400.0);
-        admission.refuse(at(step * 100), applicant("program", 0), TURN_MS);
+        admission.note(at(step * 100), 400.0 * slowdown, 400.0);
+        admission.check(at(step * 100), request("program", 0), TURN_MS);
     }
     admission
 }
@@ -38,8 +38,8 @@
 #[test]
 fn all_begin_while_streams_are_near_their_idle_time() {
     for priority in 0..4 {
-        assert_eq!(beginning(&mut Admission::default(), 0, priority), 1000, "nothing is known yet");
-        assert_eq!(beginning(&mut stretched(1.8, 20), 20_000, priority), 1000);
+        assert_eq!(admitted_count(&mut Admission::default(), 0, priority), 1000, "nothing is known yet");
+        assert_eq!(admitted_count(&mut slowed_admission(1.8, 20), 20_000, priority), 1000);
     }
 }
 
@@ -47,22 +47,22 @@
 fn a_less_urgent_class_never_has_the_larger_part_and_none_is_shut_out() {
     for percent in 1..=100 {
         let parts: Vec<f64> =
-            (0..4).map(|priority| part_admitted(f64::from(percent) / 100.0, priority)).collect();
+            (0..4).map(|priority| admitted_fraction(f64::from(percent) / 100.0, priority)).collect();
         assert!(parts.windows(2).all(|pair| pair[0] >= pair[1]), "{parts:?}");
         assert!(parts.iter().all(|part| *part > 0.0 && *part <= 1.0));
     }
-    let mut overloaded = stretched(8.0, 30);
-    assert!((10..100).contains(&beginning(&mut overloaded, 30_000, 0)), "recovery has to show");
+    let mut overloaded = slowed_admission(8.0, 30);
+    assert!((10..100).contains(&admitted_count(&mut overloaded, 30_000, 0)), "recovery has to show");
 }
 
 #[test]
 fn all_relays_and_all_tries_draw_alike() {
-    let (mut one, mut other) = (stretched(4.0, 2), stretched(4.0, 2));
+    let (mut one, mut other) = (slowed_admission(4.0, 2), slowed_admission(4.0, 2));
     let mut refused = 0;
     for number in 0..200 {
         let name = format!("program-{number}");
-        let first = one.refuse(at(2000), applicant(&name, 0), TURN_MS);
-        assert_eq!(first, other.refuse(at(2000), applicant(&name, 0), TURN_MS));
+        let first = one.check(at(2000), request(&name, 0), TURN_MS);
+        assert_eq!(first, other.check(at(2000), request(&name, 0), TURN_MS));
         refused += usize::from(first.is_some());
     }
     assert!((20..180).contains(&refused), "{refused} of 200 were refused");
@@ -70,40 +70,40 @@
 
 #[test]
 fn the_part_that_begins_follows_the_load_both_ways() {
-    let mut admission = stretched(5.0, 4);
-    let under_load = beginning(&mut admission, 4000, 1);
+    let mut admission = slowed_admission(5.0, 4);
+    let under_load = admitted_count(&mut admission, 4000, 1);
     assert!(under_load < 500, "{under_load} of 1000 begin");
     for step in 40..200 {
         admission.note(at(step * 100), 400.0, 400.0);
-        admission.refuse(at(step * 100), applicant("program", 0), TURN_MS);
+        admission.check(at(step * 100), request("program", 0), TURN_MS);
     }
-    assert_eq!(beginning(&mut admission, 20_000, 1), 1000);
+    assert_eq!(admitted_count(&mut admission, 20_000, 1), 1000);
 }
 
 #[test]
 fn a_program_whose_time_is_over_gives_way_only_under_load() {
-    let late = Applicant { name: "program", priority: 0, left_ms: Some(0.0) };
-    assert_eq!(Admission::default().refuse(at(0), late, TURN_MS), None);
-    assert!(stretched(5.0, 1).refuse(at(1000), late, TURN_MS).is_some());
+    let late = AdmissionRequest { name: "program", priority: 0, remaining_ms: Some(0.0) };
+    assert_eq!(Admission::default().check(at(0), late, TURN_MS), None);
+    assert!(slowed_admission(5.0, 1).check(at(1000), late, TURN_MS).is_some());
 }
 
 #[test]
 fn a_silent_endpoint_is_no_load() {
-    let mut admission = stretched(1.0, 2);
+    let mut admission = slowed_admission(1.0, 2);
     admission.wait(at(2000), 40.0);
-    assert_eq!(beginning(&mut admission, 5000, 1), 1000, "one call of many is out for three seconds");
+    assert_eq!(admitted_count(&mut admission, 5000, 1), 1000, "one call of many is out for three seconds");
     admission.stop_waiting(at(2000));
-    assert!((admission.stretch(at(2000)) - 1.0).abs() < 0.01);
+    assert!((admission.slowdown(at(2000)) - 1.0).abs() < 0.01);
 }
 
 /// A program that waits before it begins ends late: a refused client that came back after a second and was let in had lost
 /// the time that it needed (kartli-relay, load 6: 341 of 1,082 programs late; 26 with a short wait).
 #[test]
 fn who_is_refused_is_told_to_come_back_soon() {
-    let mut admission = stretched(9.0, 10);
+    let mut admission = slowed_admission(9.0, 10);
     let names: Vec<String> = (0..200).map(|number| format!("program-{number}")).collect();
     let waits: Vec<Duration> =
-        names.iter().filter_map(|name| admission.refuse(at(10_000), applicant(name, 1), TURN_MS)).collect();
+        names.iter().filter_map(|name| admission.check(at(10_000), request(name, 1), TURN_MS)).collect();
     assert!(waits.len() > 100);
     assert!(waits.iter().all(|wait| !wait.is_zero() && *wait <= Duration::from_millis(100)));
 }
@@ -116,16 +116,16 @@
         let now = at(step * 20);
         let key = relay.key(&format!("i-{}", step % 2)).expect("is known");
         let Some(endpoint) = relay.get_mut(key) else { continue };
-        endpoint.tell(now, if step < 50 { Load { running: 0, waiting: 0 } } else { load });
+        endpoint.note_load(now, if step < 50 { Load { running: 0, waiting: 0 } } else { load });
         endpoint.cache.note(&parts[..1], 100_000);
         let expected = relay.stream_sent(now, key, &parts).expect("is known");
         let slow = if step < 50 { 1 } else { 6 };
-        relay.stream_began(at(step * 20 + 30 * slow), &expected);
-        relay.stream_not_awaited(&expected);
+        relay.stream_started(at(step * 20 + 30 * slow), &expected);
+        relay.stream_wait_ended(&expected);
         for _ in 0..4 {
-            relay.stream_went_on(now, key, 3, Duration::from_millis(45 * slow));
+            relay.stream_progressed(now, key, 3, Duration::from_millis(45 * slow));
         }
-        relay.refuse(now, "llm", applicant("program", 1));
+        relay.check_admission(now, "llm", request("program", 1));
     }
     relay
 }
@@ -136,13 +136,13 @@
     let now = at(200 * 20);
     let refused = |mut relay: Endpoints| {
         let names: Vec<String> = (0..200).map(|number| format!("program-{number}")).collect();
-        names.iter().filter(|name| relay.refuse(now, "llm", applicant(name, 1)).is_some()).count()
+        names.iter().filter(|name| relay.check_admission(now, "llm", request(name, 1)).is_some()).count()
     };
     let roomy = relay_under_load(Load { running: 6, waiting: 0 });
     assert!(
-        roomy.stretch(now, "llm") > 3.0,
+        roomy.slowdown(now, "llm") > 3.0,
         "streams are slow for another reason: {}",
-        roomy.stretch(now, "llm")
+        roomy.slowdown(now, "llm")
     );
     assert_eq!(refused(roomy), 0);
     assert!(refused(relay_under_load(Load { running: 20, waiting: 3 })) > 100);
--- a/crates/onyxstile-system/tests/bad_clients.rs
+++ b/crates/onyxstile-system/tests/bad_clients.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use onyxstile_system::clock::Instant;
-use onyxstile_system::watch::{Bounds, Overdue, Watch};
+use onyxstile_system::connection_watchdog::{ConnectionTimeouts, ConnectionWatchdog, Overdue};
 use support::tier::{Tier, ask, play};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -96,23 +96,27 @@
 
 #[test]
 fn a_head_has_its_time_from_its_first_byte_and_a_rest_from_the_answers_end() {
-    let bounds = Bounds { head: Duration::from_millis(300), rest: Duration::from_millis(1000) };
-    let mut watch = Watch::new(at(0), bounds);
-    assert_eq!(watch.ends(), Some((at(1000), Overdue::Rest)));
+    let bounds = ConnectionTimeouts { head: Duration::from_millis(300), idle: Duration::from_millis(1000) };
+    let mut watch = ConnectionWatchdog::new(at(0), bounds);
+    assert_eq!(watch.deadline(), Some((at(1000), Overdue::Idle)));
     watch.bytes(at(900));
     watch.bytes(at(1100));
-    assert_eq!(watch.ends(), Some((at(1200), Overdue::Head)), "more bytes give no more time");
+    assert_eq!(watch.deadline(), Some((at(1200), Overdue::Head)), "more bytes give no more time");
     watch.request(at(1150));
     watch.bytes(at(1160));
-    assert_eq!(watch.ends(), None, "an answer may take as long as it takes");
+    assert_eq!(watch.deadline(), None, "an answer may take as long as it takes");
     watch.answered(at(9000));
-    assert_eq!(watch.ends(), Some((at(10_000), Overdue::Rest)));
+    assert_eq!(watch.deadline(), Some((at(10_000), Overdue::Idle)));
     watch.sent(at(12_000));
-    assert_eq!(watch.ends(), Some((at(13_000), Overdue::Rest)), "an answer's last bytes begin the rest");
+    assert_eq!(watch.deadline(), Some((at(13_000), Overdue::Idle)), "an answer's last bytes begin the rest");
     watch.bytes(at(12_500));
     watch.sent(at(12_700));
-    assert_eq!(watch.ends(), Some((at(13_000), Overdue::Head)), "a head behind it has its time from then on");
+    assert_eq!(
+        watch.deadline(),
+        Some((at(13_000), Overdue::Head)),
+        "a head behind it has its time from then on"
+    );
     watch.request(at(12_800));
     watch.sent(at(12_900));
-    assert_eq!(watch.ends(), None, "a stream may take as long as it takes");
+    assert_eq!(watch.deadline(), None, "a stream may take as long as it takes");
 }
--- a/crates/onyxstile-system/tests/bad_endpoints.rs
+++ b/crates/onyxstile-system/tests/bad_endpoints.rs
@@ -17,52 +17,52 @@
 
 /// What an endpoint does with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Mood {
+enum Behaviour {
     /// Answers as it should.
-    Well,
+    Correct,
     /// Runs it and closes the connection without a word.
-    Closes,
+    ClosesConnection,
     /// Answers for another request.
-    OtherId,
+    WrongId,
     /// Answers without a seal.
-    NoSeal,
+    MissingSeal,
     /// Breaks off in the midst of the body.
-    CutShort,
+    Truncated,
     /// Sends bytes that are no answer.
-    Garbage,
+    Malformed,
     /// Answers well, and then once more for nobody.
-    Twice,
+    Duplicate,
     /// Says that it did not run it.
-    Refuses,
+    NotExecuted,
     /// Answers 500 with its seal.
-    Fails,
+    ServerError,
     /// Answers without a length and ends the connection.
     Unframed,
     /// Begins an answer without a length and resets the connection.
     UnframedReset,
     /// Runs it and resets the connection, not a byte answered.
-    Resets,
+    ResetsConnection,
     /// Resets the connection in the midst of the answer's head.
     ResetsInHead,
     /// Answers well and resets the connection some moments later, while it rests.
-    ResetsAtRest,
+    ResetsWhenIdle,
 }
 
 /// What leaves open whether a request has run.
-const UNKNOWN: [Mood; 8] = [
-    Mood::Closes,
-    Mood::OtherId,
-    Mood::NoSeal,
-    Mood::CutShort,
-    Mood::Garbage,
-    Mood::UnframedReset,
-    Mood::Resets,
-    Mood::ResetsInHead,
+const MAY_HAVE_RUN: [Behaviour; 8] = [
+    Behaviour::ClosesConnection,
+    Behaviour::WrongId,
+    Behaviour::MissingSeal,
+    Behaviour::Truncated,
+    Behaviour::Malformed,
+    Behaviour::UnframedReset,
+    Behaviour::ResetsConnection,
+    Behaviour::ResetsInHead,
 ];
 
 /// Both endpoints: the first arrival of a request meets the mood, the next ones are answered well.
 struct Script {
-    mood: Cell<Mood>,
+    behaviour: Cell<Behaviour>,
     runs: RefCell<BTreeMap<String, u32>>,
 }
 
@@ -72,12 +72,12 @@
     }
 
     /// The mood that a request meets; whatever is not refused runs.
-    fn meet(&self, id: &str) -> Mood {
-        let mood = if self.runs(id) > 0 { Mood::Well } else { self.mood.get() };
-        if mood != Mood::Refuses {
+    fn next_behaviour(&self, id: &str) -> Behaviour {
+        let behaviour = if self.runs(id) > 0 { Behaviour::Correct } else { self.behaviour.get() };
+        if behaviour != Behaviour::NotExecuted {
             *self.runs.borrow_mut().entry(id.to_owned()).or_default() += 1;
         }
-        mood
+        behaviour
     }
 }
 
@@ -99,37 +99,37 @@
             format!("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\n{seal}Content-Length: {length}\r\n\r\n{body}")
         };
         let seal = "Response-Seal: s\r\n";
-        let whole = answer(&id, seal, &format!("for {id}"));
-        let mood = script.meet(&id);
-        let bytes = match mood {
-            Mood::Well => whole,
-            Mood::Closes => return,
-            Mood::OtherId => answer("another", seal, "for another"),
-            Mood::NoSeal => answer(&id, "", "no seal"),
-            Mood::CutShort => whole[..whole.len() - 2].to_owned(),
-            Mood::Garbage => "no answer at all\r\n\r\n".to_owned(),
-            Mood::Twice => whole + &answer("late", seal, "for nobody"),
-            Mood::Refuses => {
+        let complete = answer(&id, seal, &format!("for {id}"));
+        let behaviour = script.next_behaviour(&id);
+        let bytes = match behaviour {
+            Behaviour::Correct => complete,
+            Behaviour::ClosesConnection => return,
+            Behaviour::WrongId => answer("another", seal, "for another"),
+            Behaviour::MissingSeal => answer(&id, "", "no seal"),
+            Behaviour::Truncated => complete[..complete.len() - 2].to_owned(),
+            Behaviour::Malformed => "no answer at all\r\n\r\n".to_owned(),
+            Behaviour::Duplicate => complete + &answer("late", seal, "for nobody"),
+            Behaviour::NotExecuted => {
                 format!(
                     "HTTP/1.1 503 Full\r\nRequest-Id: {id}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
                 )
             }
-            Mood::Unframed => unframed(&id, &format!("for {id}")),
-            Mood::UnframedReset => unframed(&id, "for"),
-            Mood::Resets => return reset(&stream),
-            Mood::ResetsInHead => whole[..20].to_owned(),
-            Mood::ResetsAtRest => whole,
-            Mood::Fails => answer(&id, seal, "it failed").replace("200 OK", "500 Error"),
+            Behaviour::Unframed => unframed(&id, &format!("for {id}")),
+            Behaviour::UnframedReset => unframed(&id, "for"),
+            Behaviour::ResetsConnection => return reset(&stream),
+            Behaviour::ResetsInHead => complete[..20].to_owned(),
+            Behaviour::ResetsWhenIdle => complete,
+            Behaviour::ServerError => answer(&id, seal, "it failed").replace("200 OK", "500 Error"),
         };
         if stream.write_all(bytes.as_bytes()).await.is_err() {
             return;
         }
-        match mood {
-            Mood::CutShort | Mood::Unframed => return,
-            Mood::UnframedReset | Mood::ResetsInHead => {
+        match behaviour {
+            Behaviour::Truncated | Behaviour::Unframed => return,
+            Behaviour::UnframedReset | Behaviour::ResetsInHead => {
                 return reset(&stream);
             }
-            Mood::ResetsAtRest => return reset(&stream),
+            Behaviour::ResetsWhenIdle => return reset(&stream),
             _ => {}
         }
     }
@@ -157,33 +157,33 @@
     )
 }
 
-struct Story {
+struct Scenario {
     tier: Tier,
     script: Rc<Script>,
     last: Cell<u32>,
 }
 
-impl Story {
-    async fn start(name: &str) -> Story {
-        let script = Rc::new(Script { mood: Cell::new(Mood::Well), runs: RefCell::default() });
+impl Scenario {
+    async fn start(name: &str) -> Scenario {
+        let script = Rc::new(Script { behaviour: Cell::new(Behaviour::Correct), runs: RefCell::default() });
         let other = endpoint(script.clone()).await;
-        Story::with(name, script, other).await
+        Scenario::with(name, script, other).await
     }
 
     /// Two endpoints: one that goes by the script, and another.
-    async fn with(name: &str, script: Rc<Script>, other: SocketAddrV4) -> Story {
+    async fn with(name: &str, script: Rc<Script>, other: SocketAddrV4) -> Scenario {
         let one = endpoint(script.clone()).await;
         let endpoints = [("i-1", "api", one), ("i-2", "api", other)];
         let tier = Tier::start(name, &configuration(), &endpoints).await;
-        let story = Story { tier, script, last: Cell::new(0) };
+        let scenario = Scenario { tier, script, last: Cell::new(0) };
         // Endpoints reach the proxy a moment after it is ready.
-        while story.ask("often", Mood::Well).await.1.status != 200 {}
-        story
+        while scenario.ask("often", Behaviour::Correct).await.1.status != 200 {}
+        scenario
     }
 
     /// Sends a request that meets a mood; its id and its answer.
-    async fn ask(&self, route: &str, mood: Mood) -> (String, Answer) {
-        self.script.mood.set(mood);
+    async fn ask(&self, route: &str, behaviour: Behaviour) -> (String, Answer) {
+        self.script.behaviour.set(behaviour);
         self.last.set(self.last.get() + 1);
         let id = format!("r{}", self.last.get());
         let headers = [("request-id", id.as_str()), ("deadline-ms", "2500")];
@@ -195,15 +195,15 @@
 #[test]
 fn what_may_have_run_and_may_not_run_twice_is_never_sent_again() {
     play(async {
-        let story = Story::start("once").await;
-        for mood in UNKNOWN {
-            let (id, answer) = story.ask("once", mood).await;
-            assert_eq!(answer.status, 502, "{mood:?}");
-            assert_eq!(story.script.runs(&id), 1, "{mood:?}");
-            assert!(!answer.headers.contains_key("response-seal"), "{mood:?}");
+        let scenario = Scenario::start("once").await;
+        for behaviour in MAY_HAVE_RUN {
+            let (id, answer) = scenario.ask("once", behaviour).await;
+            assert_eq!(answer.status, 502, "{behaviour:?}");
+            assert_eq!(scenario.script.runs(&id), 1, "{behaviour:?}");
+            assert!(!answer.headers.contains_key("response-seal"), "{behaviour:?}");
         }
-        let (id, answer) = story.ask("once", Mood::Fails).await;
-        assert_eq!((answer.status.as_u16(), story.script.runs(&id)), (500, 1));
+        let (id, answer) = scenario.ask("once", Behaviour::ServerError).await;
+        assert_eq!((answer.status.as_u16(), scenario.script.runs(&id)), (500, 1));
         assert_eq!(answer.headers["response-seal"], "s", "an endpoint's own failure is passed on unchanged");
     });
 }
@@ -211,12 +211,12 @@
 #[test]
 fn what_may_run_again_is_answered_by_another_endpoint() {
     play(async {
-        let story = Story::start("often").await;
-        for mood in UNKNOWN.into_iter().chain([Mood::Fails]) {
-            let (id, answer) = story.ask("often", mood).await;
-            assert_eq!(answer.status, 200, "{mood:?}");
-            assert_eq!(answer.body.expect("a whole answer"), format!("for {id}"), "{mood:?}");
-            assert!(story.script.runs(&id) <= 2, "{mood:?}");
+        let scenario = Scenario::start("often").await;
+        for behaviour in MAY_HAVE_RUN.into_iter().chain([Behaviour::ServerError]) {
+            let (id, answer) = scenario.ask("often", behaviour).await;
+            assert_eq!(answer.status, 200, "{behaviour:?}");
+            assert_eq!(answer.body.expect("a whole answer"), format!("for {id}"), "{behaviour:?}");
+            assert!(scenario.script.runs(&id) <= 2, "{behaviour:?}");
         }
     });
 }
@@ -224,10 +224,10 @@
 #[test]
 fn what_nobody_ran_is_answered_so_and_says_when_to_come_back() {
     play(async {
-        let story = Story::start("refused").await;
+        let scenario = Scenario::start("refused").await;
         for route in ["once", "often"] {
-            let (id, answer) = story.ask(route, Mood::Refuses).await;
-            assert_eq!((answer.status.as_u16(), story.script.runs(&id)), (503, 0), "{route}");
+            let (id, answer) = scenario.ask(route, Behaviour::NotExecuted).await;
+            assert_eq!((answer.status.as_u16(), scenario.script.runs(&id)), (503, 0), "{route}");
             assert!(answer.headers.contains_key("retry-after"), "{route}");
         }
     });
@@ -236,10 +236,10 @@
 #[test]
 fn an_answer_that_nobody_asked_for_reaches_nobody() {
     play(async {
-        let story = Story::start("surplus").await;
+        let scenario = Scenario::start("surplus").await;
         for round in 0..10 {
-            let mood = if round % 2 == 0 { Mood::Twice } else { Mood::Well };
-            let (id, answer) = story.ask("often", mood).await;
+            let behaviour = if round % 2 == 0 { Behaviour::Duplicate } else { Behaviour::Correct };
+            let (id, answer) = scenario.ask("often", behaviour).await;
             assert_eq!(answer.status, 200, "round {round}");
             assert_eq!(answer.headers["request-id"], id.as_str(), "round {round}");
             assert_eq!(answer.body.expect("a whole answer"), format!("for {id}"), "round {round}");
@@ -252,12 +252,12 @@
 #[test]
 fn a_call_that_must_not_run_twice_is_not_sent_on_a_connection_that_the_endpoint_does_not_keep() {
     play(async {
-        let script = Rc::new(Script { mood: Cell::new(Mood::Well), runs: RefCell::default() });
-        let story = Story::with("full", script, full_endpoint().await).await;
+        let script = Rc::new(Script { behaviour: Cell::new(Behaviour::Correct), runs: RefCell::default() });
+        let scenario = Scenario::with("full", script, full_endpoint().await).await;
         for round in 0..20 {
-            let (id, answer) = story.ask("once", Mood::Well).await;
+            let (id, answer) = scenario.ask("once", Behaviour::Correct).await;
             assert_eq!(answer.status, 200, "round {round}");
-            assert_eq!(story.script.runs(&id), 1, "round {round}");
+            assert_eq!(scenario.script.runs(&id), 1, "round {round}");
         }
     });
 }
@@ -266,12 +266,12 @@
 #[test]
 fn an_answer_without_a_length_is_whole_unless_its_connection_is_reset() {
     play(async {
-        let story = Story::start("unframed").await;
+        let scenario = Scenario::start("unframed").await;
         for round in 0..10 {
             for route in ["once", "often"] {
-                let (id, answer) = story.ask(route, Mood::Unframed).await;
+                let (id, answer) = scenario.ask(route, Behaviour::Unframed).await;
                 assert_eq!(
-                    (answer.status.as_u16(), story.script.runs(&id)),
+                    (answer.status.as_u16(), scenario.script.runs(&id)),
                     (200, 1),
                     "{route}, round {round}"
                 );
@@ -290,11 +290,11 @@
 #[test]
 fn a_connection_that_is_reset_at_rest_sends_no_call_twice_and_loses_none_that_never_left() {
     play(async {
-        let story = Story::start("at-rest").await;
+        let scenario = Scenario::start("at-rest").await;
         let mut answered = 0;
         for round in 0..40 {
-            let (id, answer) = story.ask("once", Mood::ResetsAtRest).await;
-            assert!(story.script.runs(&id) <= 1, "round {round}");
+            let (id, answer) = scenario.ask("once", Behaviour::ResetsWhenIdle).await;
+            assert!(scenario.script.runs(&id) <= 1, "round {round}");
             match answer.status.as_u16() {
                 200 => answered += 1,
                 // The reset crossed the request: nobody knows whether it ran.
@@ -308,11 +308,11 @@
 
 /// An endpoint that answers as soon as it has a request's head, keeps the connection and reads the body after that. Counts
 /// bodies that were not all `b`: bytes of something else stood where the rest of a body was due.
-async fn early_endpoint(spoilt: Rc<Cell<u32>>) -> SocketAddrV4 {
-    listen(move |stream| answer_early(stream, spoilt.clone())).await
+async fn early_endpoint(corrupted: Rc<Cell<u32>>) -> SocketAddrV4 {
+    listen(move |stream| answer_early(stream, corrupted.clone())).await
 }
 
-async fn answer_early(mut stream: TcpStream, spoilt: Rc<Cell<u32>>) -> Option<()> {
+async fn answer_early(mut stream: TcpStream, corrupted: Rc<Cell<u32>>) -> Option<()> {
     let mut buffer = Vec::new();
     loop {
         let end = loop {
@@ -337,7 +337,7 @@
             }
         }
         if buffer.drain(..length).any(|byte| byte != b'b') {
-            spoilt.set(spoilt.get() + 1);
+            corrupted.set(corrupted.get() + 1);
         }
     }
 }
@@ -345,8 +345,8 @@
 #[test]
 fn an_answer_before_the_body_has_been_sent_lets_no_other_request_in_its_place() {
     play(async {
-        let spoilt: Rc<Cell<u32>> = Rc::default();
-        let (one, other) = (early_endpoint(spoilt.clone()).await, early_endpoint(spoilt.clone()).await);
+        let corrupted: Rc<Cell<u32>> = Rc::default();
+        let (one, other) = (early_endpoint(corrupted.clone()).await, early_endpoint(corrupted.clone()).await);
         let configuration = configuration().replace("65536", "4194304");
         let tier = Tier::start("early", &configuration, &[("i-1", "api", one), ("i-2", "api", other)]).await;
         let body = "b".repeat(700_000);
@@ -362,6 +362,6 @@
             }
         }
         assert!(answered >= 30, "{answered} of 60");
-        assert_eq!(spoilt.get(), 0, "bytes of another request where a body was due");
+        assert_eq!(corrupted.get(), 0, "bytes of another request where a body was due");
     });
 }
--- a/crates/onyxstile-system/tests/balance.rs
+++ b/crates/onyxstile-system/tests/balance.rs
@@ -5,29 +5,31 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use onyxstile_system::balance::{EndpointKey, Endpoints, Need};
+use onyxstile_system::balance::{CallRequirements, EndpointKey, Endpoints};
 use onyxstile_system::load::Load;
 use onyxstile_system::prefix;
 use onyxstile_system::registry::{Instance, Stage};
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
-use support::endpoints::{at, instance, named_relay, prompt, relay, roll};
+use support::endpoints::{at, instance, named_relay, prompt, random_unit, relay};
 
 /// kartli-relay-grown, quiet-1: all relays sent a first part to the same two endpoints (busiest/mean 4.28).
 #[test]
 fn many_relays_spread_few_first_parts_over_all_endpoints() {
-    let mut random = Pcg64Mcg::new(5);
+    let mut rng = Pcg64Mcg::new(5);
     let mut arrivals: HashMap<String, u32> = HashMap::new();
     let mut total = 0;
     for number in 0..73 {
         let mut relay = relay(&format!("z{}", number % 4), 56);
         for session in 0..60 {
-            let thing = (random.next_u32() % 16).min(random.next_u32() % 16);
-            let parts = prompt(thing, number * 1000 + session);
+            let shared_part = (rng.next_u32() % 16).min(rng.next_u32() % 16);
+            let parts = prompt(shared_part, number * 1000 + session);
             relay.note_prompt(&parts);
-            let need = Need { service: "llm", parts: &parts, ..Need::default() };
-            let key =
-                relay.choose(at(u64::from(session) * 250), &need, roll(&mut random)).expect("an endpoint");
+            let requirements =
+                CallRequirements { service: "llm", parts: &parts, ..CallRequirements::default() };
+            let key = relay
+                .choose(at(u64::from(session) * 250), &requirements, random_unit(&mut rng))
+                .expect("an endpoint");
             let endpoint = relay.get_mut(key).expect("is known");
             endpoint.cache.note(&parts, 180_000);
             *arrivals.entry(endpoint.instance.id.clone()).or_default() += 1;
@@ -42,14 +44,14 @@
 
 #[test]
 fn relays_with_the_same_knowledge_do_not_all_choose_the_same_tool_endpoint() {
-    let mut random = Pcg64Mcg::new(9);
+    let mut rng = Pcg64Mcg::new(9);
     let mut arrivals: HashMap<EndpointKey, u32> = HashMap::new();
     for number in 0..2000 {
         let mut relay = named_relay("z0", &format!("relay-{number}"), 12);
-        let need = Need { service: "llm", ..Need::default() };
-        let warm = relay.choose(at(0), &need, 0.0).expect("an endpoint");
+        let requirements = CallRequirements { service: "llm", ..CallRequirements::default() };
+        let warm = relay.choose(at(0), &requirements, 0.0).expect("an endpoint");
         relay.get_mut(warm).expect("is known").succeeded(at(0), Some(Duration::from_millis(20)));
-        let key = relay.choose(at(10), &need, roll(&mut random)).expect("an endpoint");
+        let key = relay.choose(at(10), &requirements, random_unit(&mut rng)).expect("an endpoint");
         *arrivals.entry(key).or_default() += 1;
     }
     let busiest = arrivals.values().copied().max().unwrap_or(0);
@@ -60,15 +62,19 @@
 fn a_session_stays_where_its_turns_were_read() {
     let mut relay = relay("z0", 9);
     let parts = prompt(1, 1);
-    let need = Need { service: "llm", parts: &parts, ..Need::default() };
-    let first = relay.choose(at(0), &need, 0.3).expect("an endpoint");
+    let requirements = CallRequirements { service: "llm", parts: &parts, ..CallRequirements::default() };
+    let first = relay.choose(at(0), &requirements, 0.3).expect("an endpoint");
     relay.get_mut(first).expect("is known").cache.note(&parts, 200_000);
     for step in 0..20 {
-        assert_eq!(relay.choose(at(step), &need, f64::from(step as u32) / 20.0), Some(first));
+        assert_eq!(relay.choose(at(step), &requirements, f64::from(step as u32) / 20.0), Some(first));
     }
     let full = Load { running: 40, waiting: 10 };
-    relay.get_mut(first).expect("is known").tell(at(30), full);
-    assert_ne!(relay.choose(at(30), &need, 0.3), Some(first), "reading anew is cheaper than queueing");
+    relay.get_mut(first).expect("is known").note_load(at(30), full);
+    assert_ne!(
+        relay.choose(at(30), &requirements, 0.3),
+        Some(first),
+        "reading anew is cheaper than queueing"
+    );
 }
 
 #[test]
@@ -79,9 +85,9 @@
     leaving.sequence = 5;
     assert!(relay.update(at(10), leaving).is_some());
     relay.update(at(20), Instance { sequence: 9, ..instance(0, "llm") });
-    let need = Need { service: "llm", ..Need::default() };
+    let requirements = CallRequirements { service: "llm", ..CallRequirements::default() };
     for step in 0..50u32 {
-        let key = relay.choose(at(100), &need, f64::from(step) / 50.0).expect("an endpoint");
+        let key = relay.choose(at(100), &requirements, f64::from(step) / 50.0).expect("an endpoint");
         assert_eq!(relay.get(key).expect("is known").instance.id, "i-1");
     }
 }
@@ -89,31 +95,37 @@
 #[test]
 fn an_endpoint_out_of_reach_gets_one_call_at_a_time_until_it_answers() {
     let mut relay = relay("z0", 2);
-    let need = Need { service: "llm", ..Need::default() };
-    let sick = relay.choose(at(0), &need, 0.0).expect("an endpoint");
-    relay.get_mut(sick).expect("is known").unreachable(at(0));
+    let requirements = CallRequirements { service: "llm", ..CallRequirements::default() };
+    let unhealthy = relay.choose(at(0), &requirements, 0.0).expect("an endpoint");
+    relay.get_mut(unhealthy).expect("is known").unreachable(at(0));
     let chosen = |relay: &Endpoints, now| {
-        (0..20).filter(|step| relay.choose(at(now), &need, f64::from(*step) / 20.0) == Some(sick)).count()
+        (0..20)
+            .filter(|step| relay.choose(at(now), &requirements, f64::from(*step) / 20.0) == Some(unhealthy))
+            .count()
     };
     assert_eq!(chosen(&relay, 100), 0, "passed over");
     assert!(chosen(&relay, 400) > 0, "tried again after its pause");
-    relay.get_mut(sick).expect("is known").begin();
+    relay.get_mut(unhealthy).expect("is known").begin();
     assert_eq!(chosen(&relay, 400), 0, "one call at a time");
-    relay.get_mut(sick).expect("is known").end();
-    relay.get_mut(sick).expect("is known").succeeded(at(0), None);
+    relay.get_mut(unhealthy).expect("is known").end();
+    relay.get_mut(unhealthy).expect("is known").succeeded(at(0), None);
     assert!(chosen(&relay, 400) > 0);
 }
 
 #[test]
 fn where_all_are_in_trouble_one_is_chosen_all_the_same() {
     let mut relay = relay("z0", 3);
-    let need = Need { service: "llm", ..Need::default() };
+    let requirements = CallRequirements { service: "llm", ..CallRequirements::default() };
     for _ in 0..9 {
-        let key = relay.choose(at(0), &need, 0.5).expect("an endpoint");
+        let key = relay.choose(at(0), &requirements, 0.5).expect("an endpoint");
         relay.get_mut(key).expect("is known").failed(at(0));
     }
-    assert!(relay.choose(at(0), &need, 0.5).is_some());
-    assert!(relay.choose(at(0), &Need { service: "other", ..Need::default() }, 0.5).is_none());
+    assert!(relay.choose(at(0), &requirements, 0.5).is_some());
+    assert!(
+        relay
+            .choose(at(0), &CallRequirements { service: "other", ..CallRequirements::default() }, 0.5)
+            .is_none()
+    );
 }
 
 #[test]
@@ -129,7 +141,7 @@
 #[test]
 fn a_program_whose_turns_come_through_many_relays_is_read_in_one_place() {
     let read_anew = |is_named: bool| {
-        let mut random = Pcg64Mcg::new(11);
+        let mut rng = Pcg64Mcg::new(11);
         let mut relays: Vec<Endpoints> =
             (0..48).map(|number| relay(&format!("z{}", number % 4), 24)).collect();
         let mut truth: HashMap<String, prefix::Cache> = HashMap::new();
@@ -142,13 +154,18 @@
                 let parts = prefix::parse(&header);
                 // Clients of a zone come through any of its relays.
                 let zone = program as usize % 4;
-                let index = zone + 4 * (random.next_u32() as usize % (relays.len() / 4));
+                let index = zone + 4 * (rng.next_u32() as usize % (relays.len() / 4));
                 let relay = &mut relays[index];
                 relay.note_prompt(&parts);
                 let program = is_named.then_some(name.as_str());
-                let need = Need { service: "llm", parts: &parts, program, ..Need::default() };
+                let requirements = CallRequirements {
+                    service: "llm",
+                    parts: &parts,
+                    program,
+                    ..CallRequirements::default()
+                };
                 let now = at(u64::from(turn) * 300);
-                let key = relay.choose(now, &need, roll(&mut random)).expect("an endpoint");
+                let key = relay.choose(now, &requirements, random_unit(&mut rng)).expect("an endpoint");
                 let endpoint = relay.get_mut(key).expect("is known");
                 endpoint.cache.note(&parts, 180_000);
                 let cache = truth.entry(endpoint.instance.id.clone()).or_default();
@@ -176,8 +193,13 @@
         }
         let parts = prompt(1, 1);
         relay.note_prompt(&parts);
-        let need = Need { service: "llm", parts: &parts, program: Some(program), ..Need::default() };
-        let key = relay.choose(at(0), &need, 0.4).expect("an endpoint");
+        let requirements = CallRequirements {
+            service: "llm",
+            parts: &parts,
+            program: Some(program),
+            ..CallRequirements::default()
+        };
+        let key = relay.choose(at(0), &requirements, 0.4).expect("an endpoint");
         relay.get(key).expect("is known").instance.zone.clone()
     };
     let zones = |endpoints: &[u32]| -> Vec<String> {
@@ -200,14 +222,14 @@
 fn an_endpoint_that_told_nothing_lately_is_taken_for_as_busy_as_the_others() {
     let mut relay = relay("z0", 5);
     let parts = prompt(1, 1);
-    let need = Need { service: "llm", parts: &parts, ..Need::default() };
+    let requirements = CallRequirements { service: "llm", parts: &parts, ..CallRequirements::default() };
     let keys: Vec<EndpointKey> = (0..5).filter_map(|number| relay.key(&format!("i-{number}"))).collect();
     relay.get_mut(keys[0]).expect("is known").cache.note(&parts, 200_000);
     for key in &keys[..4] {
-        relay.get_mut(*key).expect("is known").tell(at(0), Load { running: 16, waiting: 1 });
+        relay.get_mut(*key).expect("is known").note_load(at(0), Load { running: 16, waiting: 1 });
     }
     for step in 0..20u32 {
-        let key = relay.choose(at(10), &need, f64::from(step) / 20.0);
+        let key = relay.choose(at(10), &requirements, f64::from(step) / 20.0);
         assert_eq!(key, Some(keys[0]), "the fifth told nothing, which does not mean that it is idle");
     }
 }
@@ -216,9 +238,9 @@
 fn prompts_that_wait_cost_more_than_streams_that_run() {
     let mut relay = relay("z0", 2);
     let parts = prompt(1, 1);
-    let need = Need { service: "llm", parts: &parts, ..Need::default() };
+    let requirements = CallRequirements { service: "llm", parts: &parts, ..CallRequirements::default() };
     let keys: Vec<EndpointKey> = (0..2).filter_map(|number| relay.key(&format!("i-{number}"))).collect();
-    relay.get_mut(keys[0]).expect("is known").tell(at(0), Load { running: 2, waiting: 8 });
-    relay.get_mut(keys[1]).expect("is known").tell(at(0), Load { running: 14, waiting: 0 });
-    assert_eq!(relay.choose(at(10), &need, 0.0), Some(keys[1]));
+    relay.get_mut(keys[0]).expect("is known").note_load(at(0), Load { running: 2, waiting: 8 });
+    relay.get_mut(keys[1]).expect("is known").note_load(at(0), Load { running: 14, waiting: 0 });
+    assert_eq!(relay.choose(at(10), &requirements, 0.0), Some(keys[1]));
 }
--- a/crates/onyxstile-system/tests/control_model.rs
+++ b/crates/onyxstile-system/tests/control_model.rs
@@ -13,8 +13,8 @@
 use onyxstile_system::clock::Instant;
 use onyxstile_system::control::{Durable, ElectorId, Life, Message, Operation, Outcome};
 use onyxstile_system::controller::{Controller, Effect, Input};
-use onyxstile_system::tolerance::Place;
-use support::search::{self, Model, Searched};
+use onyxstile_system::tolerance::Location;
+use support::search::{self, Model, SearchResult};
 use support::{ONE, address};
 
 const MACHINES: usize = 3;
@@ -88,7 +88,7 @@
     address(machine as u8 + 1)
 }
 
-fn place(machine: usize) -> Place {
+fn place(machine: usize) -> Location {
     support::place("r", &format!("z{machine}"))
 }
 
@@ -129,7 +129,7 @@
         self.channels.get_mut(&(from, to)).and_then(VecDeque::pop_front)
     }
 
-    fn live(&self, own: usize) -> Vec<(ElectorId, Place)> {
+    fn live(&self, own: usize) -> Vec<(ElectorId, Location)> {
         let is_live = |machine: &usize| *machine != own && self.suspected != Some(*machine);
         let id = |machine: usize| ElectorId { ip: ip(machine).octets(), disk: self.disks[machine].disk };
         (0..MACHINES).filter(is_live).map(|machine| (id(machine), place(machine))).collect()
@@ -228,7 +228,7 @@
 
 impl Model for State {
     type Action = Action;
-    type Flaw = Flaw;
+    type Fault = Flaw;
 
     fn actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -303,7 +303,7 @@
     }
 }
 
-fn search(state: State, flaw: Flaw) -> Searched {
+fn search(state: State, flaw: Flaw) -> SearchResult {
     search::search(state, flaw, STATES)
 }
 
@@ -332,7 +332,7 @@
 
 /// A write is on its way down the chain when machines say how far they are; then the head falls silent, and a view without it
 /// is decided: what relays were told by then is in that view.
-fn told_while_a_view_changes(flaw: Flaw) -> Searched {
+fn told_while_a_view_changes(flaw: Flaw) -> SearchResult {
     use Action::{Deliver, Suspect, Tick};
     let bounds = Bounds { ticks: 4, suspicions: 1, statuses: 4, ..QUIET };
     let start = State::start(bounds).put(0, 1, flaw);
--- a/crates/onyxstile-system/tests/decoders.rs
+++ b/crates/onyxstile-system/tests/decoders.rs
@@ -13,7 +13,7 @@
 use onyxstile_system::json;
 use onyxstile_system::load::Load;
 use onyxstile_system::prefix;
-use onyxstile_system::program::{ClaimSummary, Entry, Key, Record, Settled, Turn, fits};
+use onyxstile_system::program::{ClaimEntry, ClaimSummary, Key, Record, Settled, Turn, fits_budget};
 use onyxstile_system::registry::{Instance, Stage};
 use onyxstile_system::settings::Settings;
 use onyxstile_system::sse::Splitter;
@@ -183,8 +183,8 @@
     });
 }
 
-fn entry(request: &str, most: u64) -> Entry {
-    Entry { request: request.into(), most, settled: None }
+fn entry(request: &str, max_tokens: u64) -> ClaimEntry {
+    ClaimEntry { request: request.into(), max_tokens, settled: None }
 }
 
 #[test]
@@ -212,7 +212,7 @@
         Request::Feed(feed),
         Request::Reserve { epoch: 4, program: "p".into(), entry: entry("r", 40), wants_all: true },
         Request::GetTurns { epoch: 3, ids: vec!["a".into(), "b".into()] },
-        Request::Fetch(vec![Key::Turn("t".into()), Key::Entry("p".into(), "r".into())]),
+        Request::Fetch(vec![Key::Turn("t".into()), Key::ClaimEntry("p".into(), "r".into())]),
         Request::Status,
     ];
     let responses = [
@@ -281,7 +281,7 @@
 #[test]
 fn claims_whose_sum_is_no_number_fit_no_budget() {
     let claims = [entry("a", u64::MAX / 2 + 1), entry("b", u64::MAX / 2 + 1)];
-    assert!(!fits(1_000, "c", 10, &claims));
-    assert!(!fits(1_000, "c", u64::MAX, &[]));
-    assert!(fits(1_000, "a", 10, &[entry("a", u64::MAX)]), "its own claim is not counted twice");
+    assert!(!fits_budget(1_000, "c", 10, &claims));
+    assert!(!fits_budget(1_000, "c", u64::MAX, &[]));
+    assert!(fits_budget(1_000, "a", 10, &[entry("a", u64::MAX)]), "its own claim is not counted twice");
 }
--- a/crates/onyxstile-system/tests/health.rs
+++ b/crates/onyxstile-system/tests/health.rs
@@ -5,51 +5,50 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use onyxstile_system::balance::{EndpointKey, Endpoints, Health, Need};
+use onyxstile_system::balance::{CallRequirements, EndpointKey, Endpoints, Health};
 use onyxstile_system::clock::Instant;
 use onyxstile_system::registry::Instance;
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
-use support::endpoints::{at, instance, prompt, relay, roll};
+use support::endpoints::{at, instance, prompt, random_unit, relay};
 
 const USUAL: Duration = Duration::from_millis(50);
 
-fn call(may_repeat: bool) -> Need<'static> {
-    Need { service: "llm", may_repeat, ..Need::default() }
+fn requirements(may_repeat: bool) -> CallRequirements<'static> {
+    CallRequirements { service: "llm", may_repeat, ..CallRequirements::default() }
 }
 
 /// Calls one after the other, each 20 ms after the one before; `fails` says what becomes of one at an endpoint. How many
 /// went to each.
 fn play(
-    relay: &mut Endpoints, from_ms: u64, calls: u64, may_repeat: bool, random: &mut Pcg64Mcg,
+    relay: &mut Endpoints, from_ms: u64, calls: u64, may_repeat: bool, rng: &mut Pcg64Mcg,
     mut fails: impl FnMut(EndpointKey, &mut Pcg64Mcg) -> bool,
 ) -> HashMap<EndpointKey, u32> {
-    let mut went = HashMap::new();
+    let mut calls_by_endpoint = HashMap::new();
     for number in 0..calls {
         let now = at(from_ms + number * 20);
-        let key = relay.choose(now, &call(may_repeat), roll(random)).expect("an endpoint");
-        *went.entry(key).or_default() += 1;
-        let has_failed = fails(key, random);
+        let key = relay.choose(now, &requirements(may_repeat), random_unit(rng)).expect("an endpoint");
+        *calls_by_endpoint.entry(key).or_default() += 1;
+        let has_failed = fails(key, rng);
         let endpoint = relay.get_mut(key).expect("is known");
         if has_failed {
-            endpoint.erred(now);
+            endpoint.failed_with_error(now);
         } else {
             endpoint.succeeded(now, Some(USUAL));
         }
     }
-    went
+    calls_by_endpoint
 }
 
 #[test]
 fn an_endpoint_that_fails_two_calls_in_five_gets_few_that_must_not_be_lost() {
     for seed in 0..20u64 {
-        let mut random = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
+        let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut relay = relay("z0", 8);
         let bad = relay.key("i-3").expect("is known");
-        let went = play(&mut relay, 0, 1_000, false, &mut random, |key, random| {
-            key == bad && random.next_u32() % 5 < 2
-        });
-        let share = f64::from(went.get(&bad).copied().unwrap_or(0)) / 1_000.0;
+        let calls_by_endpoint =
+            play(&mut relay, 0, 1_000, false, &mut rng, |key, rng| key == bad && rng.next_u32() % 5 < 2);
+        let share = f64::from(calls_by_endpoint.get(&bad).copied().unwrap_or(0)) / 1_000.0;
         assert!(share < 0.03, "seed {seed}: {share} of the calls, an even part is 0.125");
     }
 }
@@ -57,11 +56,11 @@
 #[test]
 fn an_endpoint_that_fails_all_gets_no_more_than_the_trial_part_of_calls_that_may_be_repeated() {
     for seed in 0..20u64 {
-        let mut random = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
+        let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut relay = relay("z0", 8);
         let bad = relay.key("i-3").expect("is known");
-        let went = play(&mut relay, 0, 1_000, true, &mut random, |key, _| key == bad);
-        let count = went.get(&bad).copied().unwrap_or(0);
+        let calls_by_endpoint = play(&mut relay, 0, 1_000, true, &mut rng, |key, _| key == bad);
+        let count = calls_by_endpoint.get(&bad).copied().unwrap_or(0);
         assert!(count <= 50, "seed {seed}: {count} of 1,000");
     }
 }
@@ -69,21 +68,21 @@
 #[test]
 fn an_endpoint_that_is_well_again_has_its_part_within_twenty_seconds() {
     for may_repeat in [false, true] {
-        let mut random = Pcg64Mcg::new(7);
+        let mut rng = Pcg64Mcg::new(7);
         let mut relay = relay("z0", 8);
-        let sick = relay.key("i-3").expect("is known");
-        play(&mut relay, 0, 500, may_repeat, &mut random, |key, _| key == sick);
-        let went = play(&mut relay, 30_000, 500, may_repeat, &mut random, |_, _| false);
-        let count = |key| went.get(&key).copied().unwrap_or(0);
+        let unhealthy = relay.key("i-3").expect("is known");
+        play(&mut relay, 0, 500, may_repeat, &mut rng, |key, _| key == unhealthy);
+        let calls_by_endpoint = play(&mut relay, 30_000, 500, may_repeat, &mut rng, |_, _| false);
+        let count = |key| calls_by_endpoint.get(&key).copied().unwrap_or(0);
         // One of the same zone that was never sick.
         let twin = count(relay.key("i-7").expect("is known"));
-        assert!(count(sick) * 2 > twin, "{} of 500, its twin gets {twin}", count(sick));
+        assert!(count(unhealthy) * 2 > twin, "{} of 500, its twin gets {twin}", count(unhealthy));
     }
 }
 
 #[test]
 fn an_endpoint_that_has_not_answered_yet_is_expected_to_be_as_fast_as_the_others() {
-    let mut random = Pcg64Mcg::new(11);
+    let mut rng = Pcg64Mcg::new(11);
     let mut relay = relay("z0", 7);
     for number in 0..7 {
         let key = relay.key(&format!("i-{number}")).expect("is known");
@@ -91,7 +90,8 @@
     }
     relay.update(at(0), Instance { zone: "z0".into(), ..instance(7, "llm") });
     let fresh = relay.key("i-7").expect("is known");
-    let chosen = (0..400).filter(|_| relay.choose(at(10), &call(false), roll(&mut random)) == Some(fresh));
+    let chosen =
+        (0..400).filter(|_| relay.choose(at(10), &requirements(false), random_unit(&mut rng)) == Some(fresh));
     assert!(chosen.count() > 20, "it gets its part of the calls while all are idle");
 }
 
@@ -124,12 +124,12 @@
 
 #[test]
 fn evidence_against_all_leaves_no_service_empty_and_crowds_no_endpoint() {
-    let mut random = Pcg64Mcg::new(3);
+    let mut rng = Pcg64Mcg::new(3);
     let mut relay = relay("z0", 8);
-    let went =
-        play(&mut relay, 0, 2_000, false, &mut random, |_, random| random.next_u32().is_multiple_of(3));
-    assert_eq!(went.len(), 8, "each is called");
-    let most = went.values().max().copied().unwrap_or(0);
+    let calls_by_endpoint =
+        play(&mut relay, 0, 2_000, false, &mut rng, |_, rng| rng.next_u32().is_multiple_of(3));
+    assert_eq!(calls_by_endpoint.len(), 8, "each is called");
+    let most = calls_by_endpoint.values().max().copied().unwrap_or(0);
     assert!(most < 600, "{most} of 2,000 went to one, an even part is 250");
 }
 
@@ -137,20 +137,24 @@
 fn one_lost_answer_among_many_does_not_move_a_session() {
     let mut relay = relay("z0", 8);
     let parts = prompt(1, 1);
-    let need = Need { service: "llm", parts: &parts, ..Need::default() };
-    let first = relay.choose(at(0), &need, 0.3).expect("an endpoint");
+    let requirements = CallRequirements { service: "llm", parts: &parts, ..CallRequirements::default() };
+    let first = relay.choose(at(0), &requirements, 0.3).expect("an endpoint");
     let endpoint = relay.get_mut(first).expect("is known");
     endpoint.cache.note(&parts, 200_000);
     for number in 0..60 {
         endpoint.succeeded(at(number * 10), Some(USUAL));
     }
-    endpoint.erred(at(600));
-    assert_eq!(relay.choose(at(610), &need, 0.3), Some(first));
+    endpoint.failed_with_error(at(600));
+    assert_eq!(relay.choose(at(610), &requirements, 0.3), Some(first));
     let endpoint = relay.get_mut(first).expect("is known");
     for _ in 0..30 {
-        endpoint.erred(at(620));
+        endpoint.failed_with_error(at(620));
     }
-    assert_ne!(relay.choose(at(630), &need, 0.3), Some(first), "an endpoint that fails a third is left");
+    assert_ne!(
+        relay.choose(at(630), &requirements, 0.3),
+        Some(first),
+        "an endpoint that fails a third is left"
+    );
 }
 
 #[test]
--- a/crates/onyxstile-system/tests/power_return.rs
+++ b/crates/onyxstile-system/tests/power_return.rs
@@ -9,12 +9,12 @@
 use onyxstile_system::control::{Change, Durable, ElectorId, Message, Operation, Written};
 use onyxstile_system::controller::{Controller, Effect, Input};
 use onyxstile_system::storage_plan::StoragePlan;
-use onyxstile_system::tolerance::Place;
+use onyxstile_system::tolerance::Location;
 use support::{ONE, address, elector, seeds};
 
 /// A machine as membership shows it.
-fn seen(number: u8) -> (ElectorId, Place) {
-    (elector(number), Place::default())
+fn seen(number: u8) -> (ElectorId, Location) {
+    (elector(number), Location::default())
 }
 
 fn durable(number: u8) -> Durable {
--- a/crates/onyxstile-system/tests/programs.rs
+++ b/crates/onyxstile-system/tests/programs.rs
@@ -10,8 +10,8 @@
 
 use onyxstile_system::clock::Instant;
 use onyxstile_system::program::{
-    Admission, ClaimSummary, Entry, Key, Quorum, Record, RecordIndex, RecordNumber, Settled, Turn, TurnCache,
-    admit, fits, groups, is_first, merge_claims, nearest,
+    BudgetDecision, ClaimEntry, ClaimSummary, Key, Quorum, Record, RecordIndex, RecordNumber, Settled, Turn,
+    TurnCache, admit, fits_budget, groups, is_first, merge_claims, nearest,
 };
 use onyxstile_system::storage_plan::StoragePlan;
 use onyxstile_system::tolerance::Tolerance;
@@ -30,8 +30,8 @@
     })
 }
 
-fn claim(request: &str, most: u64, settled: Option<u64>) -> Entry {
-    Entry { request: request.into(), most, settled }
+fn claim(request: &str, max_tokens: u64, settled: Option<u64>) -> ClaimEntry {
+    ClaimEntry { request: request.into(), max_tokens, settled }
 }
 
 /// The index of a storage machine, with a log that drops what the index calls superfluous.
@@ -48,7 +48,7 @@
         self.next += 1;
         self.log.insert(number, record.clone());
         let merge = self.index.merge(now, age, record, number);
-        merge.superfluous.iter().for_each(|number| drop(self.log.remove(number)));
+        merge.obsolete.iter().for_each(|number| drop(self.log.remove(number)));
     }
 
     fn expire(&mut self, now: Instant) {
@@ -68,14 +68,14 @@
     fn record(&self, key: &Key) -> Option<Record> {
         match key {
             Key::Turn(id) => self.turn(id).map(Record::Turn),
-            Key::Entry(program, request) => {
+            Key::ClaimEntry(program, request) => {
                 let entry = self.index.claim(program, request)?.clone();
-                Some(Record::Entry { program: program.clone(), entry })
+                Some(Record::ClaimEntry { program: program.clone(), entry })
             }
         }
     }
 
-    fn claims(&self, program: &str) -> Vec<Entry> {
+    fn claims(&self, program: &str) -> Vec<ClaimEntry> {
         self.index.claims(program)
     }
 
@@ -86,19 +86,19 @@
 
 /// What a quorum tells of a program's claims: one by one, and as summaries.
 #[derive(Default)]
-struct Told {
-    claims: Vec<Entry>,
+struct QuorumReply {
+    claims: Vec<ClaimEntry>,
     summaries: Vec<ClaimSummary>,
 }
 
-impl Told {
+impl QuorumReply {
     /// Whether a turn is let in. The summaries must not say otherwise than the claims.
     fn admits(&self, budget: u64, request: &str, most: u64) -> bool {
-        let exact = fits(budget, request, most, &self.claims);
+        let exact = fits_budget(budget, request, most, &self.claims);
         match admit(budget, request, most, &self.summaries) {
-            Admission::Fits => assert!(exact, "let in beyond the budget: {:?}", self.summaries),
-            Admission::Spent => assert!(!exact, "refused within the budget: {:?}", self.summaries),
-            Admission::Unsure => {}
+            BudgetDecision::Fits => assert!(exact, "let in beyond the budget: {:?}", self.summaries),
+            BudgetDecision::Exhausted => assert!(!exact, "refused within the budget: {:?}", self.summaries),
+            BudgetDecision::Inconclusive => {}
         }
         exact
     }
@@ -137,14 +137,14 @@
     }
 
     /// Writes at a random quorum, the rest of the members are missed; the claims that the quorum tells.
-    fn write(&mut self, record: &Record, random: &mut Pcg64Mcg) -> Option<Told> {
+    fn write(&mut self, record: &Record, rng: &mut Pcg64Mcg) -> Option<QuorumReply> {
         let key = record.key();
         let mut quorum = Quorum::new(&self.plan, key.placed_by(), self.tolerance);
         let mut members = quorum.members();
         for end in (1..members.len()).rev() {
-            members.swap(end, random.next_u32() as usize % (end + 1));
+            members.swap(end, rng.next_u32() as usize % (end + 1));
         }
-        let mut told = Told::default();
+        let mut reply = QuorumReply::default();
         for member in members {
             if self.away.contains(&member) {
                 continue;
@@ -153,13 +153,13 @@
             if self.empty.contains(&member) && !self.answers_while_empty {
                 continue;
             }
-            if let Key::Entry(program, _) = &key {
+            if let Key::ClaimEntry(program, _) = &key {
                 let store = &self.stores[&member];
-                merge_claims(&mut told.claims, store.claims(program));
-                told.summaries.push(store.index.claim_summary(program));
+                merge_claims(&mut reply.claims, store.claims(program));
+                reply.summaries.push(store.index.claim_summary(program));
             }
             if quorum.count(member) {
-                return Some(told);
+                return Some(reply);
             }
         }
         None
@@ -192,10 +192,10 @@
         members.iter().filter(|ip| !self.away.contains(ip)).find_map(|ip| self.stores[ip].turn(id))
     }
 
-    fn lose(&mut self, random: &mut Pcg64Mcg) -> Ipv4Addr {
+    fn lose(&mut self, rng: &mut Pcg64Mcg) -> Ipv4Addr {
         let members: Vec<Ipv4Addr> = self.stores.keys().copied().collect();
-        let ip = members[random.next_u32() as usize % members.len()];
-        if random.next_u32().is_multiple_of(2) {
+        let ip = members[rng.next_u32() as usize % members.len()];
+        if rng.next_u32().is_multiple_of(2) {
             self.stores.insert(ip, Store::default());
             self.empty.insert(ip);
         }
@@ -207,7 +207,7 @@
 /// Turns run side by side and end, crash or are refused while one machine at a time is lost. The most that a client can
 /// have received beyond the budget.
 fn overdraft(seed: u64, answers_while_empty: bool) -> i64 {
-    let mut random = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
+    let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
     let mut cluster = Cluster::new(4, ONE);
     cluster.answers_while_empty = answers_while_empty;
     let budget = 1000;
@@ -227,27 +227,27 @@
                     cluster.away.remove(ip);
                 }
             }
-            None if random.next_u32().is_multiple_of(6) => lost = Some((cluster.lose(&mut random), 14)),
+            None if rng.next_u32().is_multiple_of(6) => lost = Some((cluster.lose(&mut rng), 14)),
             None => {}
         }
-        if !open.is_empty() && random.next_u32().is_multiple_of(2) {
-            let (request, most) = open.swap_remove(random.next_u32() as usize % open.len());
-            let tokens = u64::from(random.next_u32()) % (most + 1);
+        if !open.is_empty() && rng.next_u32().is_multiple_of(2) {
+            let (request, most) = open.swap_remove(rng.next_u32() as usize % open.len());
+            let tokens = u64::from(rng.next_u32()) % (most + 1);
             received += tokens;
-            if !random.next_u32().is_multiple_of(16) {
+            if !rng.next_u32().is_multiple_of(16) {
                 let entry = claim(&request, most, Some(tokens));
-                cluster.write(&Record::Entry { program: "p".into(), entry }, &mut random);
+                cluster.write(&Record::ClaimEntry { program: "p".into(), entry }, &mut rng);
             }
             continue;
         }
-        let (request, most) = (format!("r{step}"), 1 + u64::from(random.next_u32() % 120));
+        let (request, most) = (format!("r{step}"), 1 + u64::from(rng.next_u32() % 120));
         let entry = claim(&request, most, None);
-        let claims = cluster.write(&Record::Entry { program: "p".into(), entry }, &mut random);
+        let claims = cluster.write(&Record::ClaimEntry { program: "p".into(), entry }, &mut rng);
         match claims {
-            Some(told) if told.admits(budget, &request, most) => open.push((request, most)),
+            Some(reply) if reply.admits(budget, &request, most) => open.push((request, most)),
             _ => {
                 let entry = claim(&request, most, Some(0));
-                cluster.write(&Record::Entry { program: "p".into(), entry }, &mut random);
+                cluster.write(&Record::ClaimEntry { program: "p".into(), entry }, &mut rng);
             }
         }
     }
@@ -271,18 +271,18 @@
 #[test]
 fn a_kept_turn_is_found_through_one_loss_after_the_other() {
     for seed in 0..80u64 {
-        let mut random = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
+        let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut cluster = Cluster::new(if seed.is_multiple_of(2) { 3 } else { 6 }, ONE);
-        let mut kept = Vec::new();
+        let mut stored = Vec::new();
         for round in 0..12 {
             for item in 0..4 {
                 let id = format!("t{round}-{item}");
-                if cluster.write(&Record::Turn(turn(&id)), &mut random).is_some() {
-                    kept.push(id);
+                if cluster.write(&Record::Turn(turn(&id)), &mut rng).is_some() {
+                    stored.push(id);
                 }
             }
-            let ip = cluster.lose(&mut random);
-            for id in &kept {
+            let ip = cluster.lose(&mut rng);
+            for id in &stored {
                 assert!(cluster.find(id).is_some(), "seed {seed}: {id} is lost with {ip}");
             }
             cluster.away.remove(&ip);
@@ -294,36 +294,36 @@
 #[test]
 fn a_turn_outlasts_a_change_of_the_plan_and_the_loss_of_an_old_disk_right_after() {
     for seed in 0..80u64 {
-        let mut random = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
+        let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut cluster = Cluster::new(4, ONE);
-        let mut kept = Vec::new();
-        let mut keep = |cluster: &mut Cluster, random: &mut Pcg64Mcg, name: &str| {
+        let mut stored = Vec::new();
+        let mut write_turns = |cluster: &mut Cluster, rng: &mut Pcg64Mcg, name: &str| {
             for item in 0..10 {
                 let id = format!("{name}{item}");
-                if cluster.write(&Record::Turn(turn(&id)), random).is_some() {
-                    kept.push(id);
+                if cluster.write(&Record::Turn(turn(&id)), rng).is_some() {
+                    stored.push(id);
                 }
             }
         };
-        keep(&mut cluster, &mut random, "before");
-        let retired = address(1 + (random.next_u32() % 4) as u8);
+        write_turns(&mut cluster, &mut rng, "before");
+        let retired = address(1 + (rng.next_u32() % 4) as u8);
         let old = cluster.plan.current.clone();
         cluster.plan.epoch = 2;
         cluster.plan.current.retain(|node| node.address() != retired);
         cluster.plan.previous = old;
-        keep(&mut cluster, &mut random, "during");
+        write_turns(&mut cluster, &mut rng, "during");
         for node in cluster.plan.current.clone() {
             cluster.repair(node.address());
         }
         cluster.plan.epoch = 3;
         cluster.plan.previous.clear();
         cluster.stores.remove(&retired);
-        keep(&mut cluster, &mut random, "after");
-        let next = cluster.plan.current[random.next_u32() as usize % 3].address();
+        write_turns(&mut cluster, &mut rng, "after");
+        let next = cluster.plan.current[rng.next_u32() as usize % 3].address();
         cluster.stores.insert(next, Store::default());
         cluster.empty.insert(next);
         cluster.away.insert(next);
-        for id in &kept {
+        for id in &stored {
             assert!(cluster.find(id).is_some(), "seed {seed}: {id}");
         }
     }
@@ -358,7 +358,7 @@
 #[test]
 fn a_settled_claim_is_never_opened_again() {
     let mut store = Store::default();
-    let record = |settled| Record::Entry { program: "p".into(), entry: claim("r", 90, settled) };
+    let record = |settled| Record::ClaimEntry { program: "p".into(), entry: claim("r", 90, settled) };
     let now = Instant::from_millis(0);
     store.merge(now, Duration::ZERO, &record(Some(30)));
     store.merge(now, Duration::ZERO, &record(None));
@@ -377,7 +377,7 @@
             store.merge(
                 Instant::from_millis(0),
                 Duration::ZERO,
-                &Record::Entry { program: "p".into(), entry },
+                &Record::ClaimEntry { program: "p".into(), entry },
             );
         }
         after.push(borsh::to_vec(&store.index.claim_summary("p")).expect("encodes").len());
@@ -395,25 +395,29 @@
         summary
     };
     let alike = [summary(&["a", "b"], &["c"]), summary(&["b", "a"], &[])];
-    assert_eq!(admit(350, "own", 100, &alike), Admission::Fits);
-    assert_eq!(admit(349, "own", 100, &alike), Admission::Spent);
+    assert_eq!(admit(350, "own", 100, &alike), BudgetDecision::Fits);
+    assert_eq!(admit(349, "own", 100, &alike), BudgetDecision::Exhausted);
     let other = [summary(&["a", "b"], &[]), summary(&["a"], &["b"])];
-    assert_eq!(admit(450, "own", 100, &other), Admission::Fits, "even if they had no claim in common");
-    assert_eq!(admit(300, "own", 100, &other), Admission::Unsure, "it may fit");
-    assert_eq!(admit(10, "own", 100, &[]), Admission::Spent);
-    assert_eq!(admit(u64::MAX, "own", u64::MAX, &alike), Admission::Spent, "a sum that is no number");
+    assert_eq!(admit(450, "own", 100, &other), BudgetDecision::Fits, "even if they had no claim in common");
+    assert_eq!(admit(300, "own", 100, &other), BudgetDecision::Inconclusive, "it may fit");
+    assert_eq!(admit(10, "own", 100, &[]), BudgetDecision::Exhausted);
+    assert_eq!(
+        admit(u64::MAX, "own", u64::MAX, &alike),
+        BudgetDecision::Exhausted,
+        "a sum that is no number"
+    );
 }
 
 #[test]
 fn the_log_keeps_one_record_for_each_key_in_whatever_order_they_come() {
     for seed in 0..200u64 {
-        let mut random = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
+        let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut store = Store::default();
         for _ in 0..60 {
-            let number = random.next_u32() % 6;
-            let record = match random.next_u32() % 3 {
+            let number = rng.next_u32() % 6;
+            let record = match rng.next_u32() % 3 {
                 0 => Record::Turn(turn(&format!("t{number}"))),
-                settled => Record::Entry {
+                settled => Record::ClaimEntry {
                     program: format!("p{}", number % 2),
                     entry: claim(&format!("r{number}"), 90, (settled == 2).then_some(30)),
                 },
@@ -435,13 +439,13 @@
     let mut index = RecordIndex::default();
     let now = Instant::from_millis(0);
     for record in
-        [Record::Turn(turn("t")), Record::Entry { program: "p".into(), entry: claim("r", 9, Some(3)) }]
+        [Record::Turn(turn("t")), Record::ClaimEntry { program: "p".into(), entry: claim("r", 9, Some(3)) }]
     {
         assert!(index.merge(now, Duration::ZERO, &record, 7).has_changed);
         let again = index.merge(now, Duration::ZERO, &record, 7);
-        assert!(!again.has_changed && again.superfluous.is_none());
+        assert!(!again.has_changed && again.obsolete.is_none());
         let copy = index.merge(now, Duration::ZERO, &record, 8);
-        assert_eq!(copy.superfluous, Some(8), "the copy need not be kept");
+        assert_eq!(copy.obsolete, Some(8), "the copy need not be kept");
     }
 }
 
@@ -513,8 +517,8 @@
 /// Where turns are not retained, only the claims tell whether a program begins.
 #[test]
 fn a_program_is_under_way_once_it_has_generated_or_another_turn_is_out() {
-    let open = |request: &str| Entry { request: request.into(), most: 40, settled: None };
-    let summary = |open: Vec<Entry>, tokens: u64| ClaimSummary {
+    let open = |request: &str| ClaimEntry { request: request.into(), max_tokens: 40, settled: None };
+    let summary = |open: Vec<ClaimEntry>, tokens: u64| ClaimSummary {
         open,
         settled: Settled { count: 1, tokens, digest: 1 },
     };
--- a/crates/onyxstile-system/tests/relays.rs
+++ b/crates/onyxstile-system/tests/relays.rs
@@ -15,10 +15,10 @@
 #[test]
 fn the_count_is_unknown_until_every_relay_has_had_the_time_to_ask() {
     let mut relays = Relays::new(at(1_000));
-    relays.heard(at(1_100), [10, 0, 0, 1], relay("edge-1", 4));
+    relays.note_poll(at(1_100), [10, 0, 0, 1], relay("edge-1", 4));
     assert_eq!(relays.count(at(5_900)), None, "others may not have asked yet");
-    relays.heard(at(5_900), [10, 0, 0, 1], relay("edge-1", 4));
-    relays.heard(at(5_900), [10, 0, 0, 2], relay("edge-2", 4));
+    relays.note_poll(at(5_900), [10, 0, 0, 1], relay("edge-1", 4));
+    relays.note_poll(at(5_900), [10, 0, 0, 2], relay("edge-2", 4));
     assert_eq!(relays.count(at(6_000)), Some(2));
 }
 
@@ -26,9 +26,9 @@
 fn a_relay_that_asks_no_more_is_forgotten_and_one_that_asks_twice_counts_once() {
     let mut relays = Relays::new(at(0));
     for ms in [1_000, 3_000, 6_000] {
-        relays.heard(at(ms), [10, 0, 0, 1], relay("edge-1", 4));
+        relays.note_poll(at(ms), [10, 0, 0, 1], relay("edge-1", 4));
     }
-    relays.heard(at(2_000), [10, 0, 0, 2], relay("edge-2", 4));
+    relays.note_poll(at(2_000), [10, 0, 0, 2], relay("edge-2", 4));
     assert_eq!(relays.count(at(6_500)), Some(2));
     assert_eq!(relays.count(at(7_000)), Some(1));
     relays.tick(at(7_000));
@@ -38,8 +38,8 @@
 #[test]
 fn an_operator_reads_who_is_behind() {
     let mut relays = Relays::new(at(0));
-    relays.heard(at(900), [10, 0, 0, 1], relay("edge-1", 4));
-    relays.heard(at(400), [10, 0, 0, 2], relay("edge-2", 3));
+    relays.note_poll(at(900), [10, 0, 0, 1], relay("edge-1", 4));
+    relays.note_poll(at(400), [10, 0, 0, 2], relay("edge-2", 3));
     expect![[r#"
         relay edge-1 revision 4 current heard 100 ms ago
         relay edge-2 revision 3 behind heard 600 ms ago"#]]
--- a/crates/onyxstile-system/tests/retry_law.rs
+++ b/crates/onyxstile-system/tests/retry_policy.rs
@@ -4,7 +4,7 @@
 
 use expect_test::expect;
 use onyxstile_system::clock::Instant;
-use onyxstile_system::retry::{Destination, Law, timer};
+use onyxstile_system::retry::{Destination, RetryPolicy, timer};
 use onyxstile_system::slots::Slots;
 
 fn at(ms: u64) -> Instant {
@@ -12,8 +12,8 @@
 }
 
 /// A destination with `pending` calls whose rate is `slots / T1`.
-fn loaded(slots: u32, pending: u32, law: &Law) -> Destination {
-    let mut destination = Destination::new(at(0), slots, law);
+fn loaded(slots: u32, pending: u32, policy: &RetryPolicy) -> Destination {
+    let mut destination = Destination::new(at(0), slots, policy);
     for _ in 0..pending {
         destination.resend();
     }
@@ -22,11 +22,11 @@
 
 #[test]
 fn the_chance_falls_from_one_to_a_tenth_between_the_thresholds() {
-    let law = Law::default();
+    let policy = RetryPolicy::default();
     let mut table = String::new();
     for pending in [0, 5, 10, 15, 20, 25, 30, 35, 60] {
-        let chance = loaded(10, pending, &law).chance(at(0), &law);
-        table.push_str(&format!("{pending} pending: {chance:.3}\n"));
+        let probability = loaded(10, pending, &policy).resend_probability(at(0), &policy);
+        table.push_str(&format!("{pending} pending: {probability:.3}\n"));
     }
     expect![[r#"
         0 pending: 1.000
@@ -44,47 +44,47 @@
 
 #[test]
 fn quiet_destinations_keep_their_chance_up_to_the_floor() {
-    let law = Law::default();
-    let mut destination = loaded(10, 4, &law);
+    let policy = RetryPolicy::default();
+    let mut destination = loaded(10, 4, &policy);
     // An hour without sends: the rate is next to nothing, the floor stands.
     for hour in 1..=60 {
-        destination.chance(at(hour * 60_000), &law);
+        destination.resend_probability(at(hour * 60_000), &policy);
     }
-    assert_eq!(destination.chance(at(3_600_000), &law), 1.0);
+    assert_eq!(destination.resend_probability(at(3_600_000), &policy), 1.0);
     destination.resend();
-    assert!(destination.chance(at(3_600_000), &law) < 1.0);
+    assert!(destination.resend_probability(at(3_600_000), &policy) < 1.0);
 }
 
 #[test]
 fn slow_healthy_destinations_keep_their_chance() {
-    let law = Law::default();
-    let mut destination = loaded(10, 30, &law);
-    assert_eq!(destination.chance(at(0), &law), 0.1);
+    let policy = RetryPolicy::default();
+    let mut destination = loaded(10, 30, &policy);
+    assert_eq!(destination.resend_probability(at(0), &policy), 0.1);
     for _ in 0..200 {
         destination.answered(Duration::from_secs(3));
     }
-    assert_eq!(destination.chance(at(0), &law), 1.0, "the threshold covers the usual latency");
+    assert_eq!(destination.resend_probability(at(0), &policy), 1.0, "the threshold covers the usual latency");
 }
 
 #[test]
 fn the_rate_follows_first_sends_and_not_retries() {
-    let law = Law { rate_weight: 0.05, ..Law::default() };
-    let chance_after = |retries: bool| {
-        let mut destination = Destination::new(at(0), 2, &law);
+    let policy = RetryPolicy { rate_weight: 0.05, ..RetryPolicy::default() };
+    let probability_after = |retries: bool| {
+        let mut destination = Destination::new(at(0), 2, &policy);
         for step in 0..600 {
             if retries {
                 destination.resend()
             } else {
-                destination.first_send(at(step * 100), &law)
+                destination.first_send(at(step * 100), &policy)
             }
             destination.end();
         }
         for _ in 0..8 {
             destination.resend();
         }
-        destination.chance(at(60_000), &law)
+        destination.resend_probability(at(60_000), &policy)
     };
-    assert!(chance_after(false) > chance_after(true));
+    assert!(probability_after(false) > probability_after(true));
 }
 
 #[test]
@@ -96,17 +96,17 @@
 
 #[test]
 fn a_derived_wait_grows_with_refusals_and_moves_firings_to_its_end() {
-    let law = Law::default();
+    let policy = RetryPolicy::default();
     let first = Duration::from_millis(30);
-    let mut destination = Destination::new(at(0), 10, &law);
+    let mut destination = Destination::new(at(0), 10, &policy);
     destination.refused(at(0), first);
-    assert_eq!(destination.fires_at(at(10)), at(30));
-    assert_eq!(destination.fires_at(at(40)), at(40));
+    assert_eq!(destination.fire_time(at(10)), at(30));
+    assert_eq!(destination.fire_time(at(40)), at(40));
     destination.refused(at(40), first);
-    assert_eq!(destination.fires_at(at(50)), at(100));
+    assert_eq!(destination.fire_time(at(50)), at(100));
     destination.answered(Duration::from_millis(5));
     destination.refused(at(200), first);
-    assert_eq!(destination.fires_at(at(200)), at(230), "an answer ends the row of refusals");
+    assert_eq!(destination.fire_time(at(200)), at(230), "an answer ends the row of refusals");
 }
 
 #[test]
