--- a/crates/onyxstile-system/tests/streams.rs
+++ b/crates/onyxstile-system/tests/streams.rs
@@ -21,12 +21,12 @@
     assert_eq!(ids, [Some("1"), Some("2"), Some("3"), None]);
     assert_eq!(whole.iter().flat_map(|event| event.bytes.clone()).collect::<Vec<u8>>(), STREAM);
     for seed in 0..200u64 {
-        let mut random = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
+        let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut splitter = Splitter::default();
         let mut events: Vec<Event> = Vec::new();
         let mut rest = STREAM;
         while !rest.is_empty() {
-            let length = 1 + random.next_u32() as usize % rest.len().min(9);
+            let length = 1 + rng.next_u32() as usize % rest.len().min(9);
             events.extend(splitter.push(&rest[..length]));
             rest = &rest[length..];
         }
@@ -43,7 +43,7 @@
     for _ in 0..40 {
         splitter.push(&[b'x'; 32 * 1024]);
     }
-    assert!(splitter.is_overfull());
+    assert!(splitter.is_over_limit());
 }
 
 #[test]
@@ -117,12 +117,12 @@
     let mut longer = bytes.clone();
     longer.push(0);
     assert!(wire::decode::<Request>(&longer).is_err());
-    let mut random = Pcg64Mcg::new(77);
+    let mut rng = Pcg64Mcg::new(77);
     for _ in 0..200_000 {
         let mut spoilt = bytes.clone();
-        for _ in 0..1 + random.next_u32() % 4 {
-            let place = random.next_u32() as usize % spoilt.len();
-            spoilt[place] = random.next_u32() as u8;
+        for _ in 0..1 + rng.next_u32() % 4 {
+            let place = rng.next_u32() as usize % spoilt.len();
+            spoilt[place] = rng.next_u32() as u8;
         }
         // Either reading is fine; it has to end, and without taking memory that isn't there.
         drop(wire::decode::<Request>(&spoilt));
--- a/crates/onyxstile-system/tests/subscription.rs
+++ b/crates/onyxstile-system/tests/subscription.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use onyxstile_system::control::StoredConfiguration;
-use onyxstile_system::known::News;
+use onyxstile_system::feed_state::FeedUpdate;
 use onyxstile_system::role::rpc::{self, Client};
 use onyxstile_system::role::subscription::{self, Wishes};
 use onyxstile_system::settings::Settings;
@@ -130,8 +130,8 @@
         let mut held = 0;
         loop {
             match news.recv().await.expect("news") {
-                News::State(published) => held = published.sequence,
-                News::Fresh => break,
+                FeedUpdate::State(published) => held = published.sequence,
+                FeedUpdate::Fresh => break,
                 _ => {}
             }
         }
--- a/crates/onyxstile-system/tests/support/control_world.rs
+++ b/crates/onyxstile-system/tests/support/control_world.rs
@@ -8,7 +8,7 @@
 use onyxstile_system::clock::Instant;
 use onyxstile_system::control::{Durable, ElectorId, Life, Message, Operation, Outcome, Write};
 use onyxstile_system::controller::{Controller, Effect, Input};
-use onyxstile_system::tolerance::{Place, Tolerance};
+use onyxstile_system::tolerance::{Location, Tolerance};
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 
@@ -188,7 +188,7 @@
     }
 
     /// Where a machine stands.
-    pub fn place(&self, ip: Ipv4Addr) -> Place {
+    pub fn place(&self, ip: Ipv4Addr) -> Location {
         place("r", &format!("z{}", ip.octets()[3] % self.zones))
     }
 
@@ -293,7 +293,7 @@
     }
 
     /// A failure detector that knows after a while.
-    fn live(&self, own: Ipv4Addr) -> Vec<(ElectorId, Place)> {
+    fn live(&self, own: Ipv4Addr) -> Vec<(ElectorId, Location)> {
         let own_cut = self.machines.get(&own).is_some_and(|machine| machine.cut_until > self.now);
         let is_live = |(ip, machine): &(&Ipv4Addr, &Machine)| {
             **ip != own
--- a/crates/onyxstile-system/tests/support/control_world/faults.rs
+++ b/crates/onyxstile-system/tests/support/control_world/faults.rs
@@ -89,12 +89,12 @@
     /// Disks count as lost until all machines have been up and in touch for the time that a return takes.
     pub(super) fn watch_calm(&mut self) {
         let now = self.now;
-        let is_in_touch = |machine: &Machine| {
+        let is_reachable = |machine: &Machine| {
             machine.is_gone
                 || (machine.down_until.is_none()
                     && machine.frozen_until.max(machine.cut_until).max(machine.deaf_until) <= now)
         };
-        if self.split.1 > now || !self.machines.values().all(is_in_touch) {
+        if self.split.1 > now || !self.machines.values().all(is_reachable) {
             self.calm_since = now;
         } else if now >= self.calm_since + CATCH_UP {
             self.machines.values_mut().for_each(|machine| machine.is_disk_lost = false);
--- a/crates/onyxstile-system/tests/support/endpoints.rs
+++ b/crates/onyxstile-system/tests/support/endpoints.rs
@@ -42,11 +42,11 @@
 }
 
 /// A number in 0..1.
-pub fn roll(random: &mut Pcg64Mcg) -> f64 {
-    f64::from(random.next_u32()) / 4_294_967_296.0
+pub fn random_unit(rng: &mut Pcg64Mcg) -> f64 {
+    f64::from(rng.next_u32()) / 4_294_967_296.0
 }
 
 /// A prompt of a shared part and a session's own.
-pub fn prompt(thing: u32, session: u32) -> Vec<Part> {
-    prefix::parse(&format!("{thing:x}:2560,{:x}:800", 100_000 + session))
+pub fn prompt(shared_part: u32, session: u32) -> Vec<Part> {
+    prefix::parse(&format!("{shared_part:x}:2560,{:x}:800", 100_000 + session))
 }
--- a/crates/onyxstile-system/tests/support/mod.rs
+++ b/crates/onyxstile-system/tests/support/mod.rs
@@ -17,7 +17,7 @@
 
 use onyxstile_system::control::{ElectorId, bootstrap_disk};
 use onyxstile_system::storage_plan::{StorageNode, StoragePlan};
-use onyxstile_system::tolerance::{Place, Tolerance};
+use onyxstile_system::tolerance::{Location, Tolerance};
 
 /// The loss of one machine.
 pub const ONE: Tolerance = Tolerance { machines: 1, zones: 0, regions: 0 };
@@ -49,8 +49,8 @@
 }
 
 /// A zone of a region.
-pub fn place(region: &str, zone: &str) -> Place {
-    Place { region: region.into(), zone: zone.into() }
+pub fn place(region: &str, zone: &str) -> Location {
+    Location { region: region.into(), zone: zone.into() }
 }
 
 /// A storage machine in a zone of its own.
@@ -59,7 +59,7 @@
 }
 
 /// A storage machine.
-pub fn storage_in(number: u8, place: Place) -> StorageNode {
+pub fn storage_in(number: u8, place: Location) -> StorageNode {
     StorageNode { name: format!("storage-{number}"), ip: address(number).octets(), disk: 1, place }
 }
 
--- a/crates/onyxstile-system/tests/support/search.rs
+++ b/crates/onyxstile-system/tests/support/search.rs
@@ -7,10 +7,10 @@
     /// What may happen next.
     type Action;
     /// How a variant departs from what should be done.
-    type Flaw: Copy;
+    type Fault: Copy;
 
     fn actions(&self) -> Vec<Self::Action>;
-    fn after(&self, action: Self::Action, flaw: Self::Flaw) -> Self;
+    fn after(&self, action: Self::Action, fault: Self::Fault) -> Self;
     /// Alike for states that need not be told apart.
     fn digest(&self) -> u128;
     /// What rule is broken here.
@@ -18,26 +18,26 @@
 }
 
 /// What a search came to.
-pub struct Searched {
+pub struct SearchResult {
     pub states: usize,
     /// All states up to this many steps from the start were met.
     pub depth: usize,
     /// Whether there are no more states within the bounds.
-    pub is_whole: bool,
+    pub is_exhaustive: bool,
     pub violation: Option<String>,
 }
 
-impl Searched {
+impl SearchResult {
     /// Prints how far it went.
     pub fn report(&self, name: &str) {
-        let whole = if self.is_whole { "all" } else { "not all" };
+        let whole = if self.is_exhaustive { "all" } else { "not all" };
         println!("{name}: {} states to depth {}, {whole} within the bounds", self.states, self.depth);
     }
 }
 
 /// Searches until a rule is broken or all states within the bounds were met, or `most` of them (`MODEL_STATES` sets another
 /// number).
-pub fn search<M: Model>(start: M, flaw: M::Flaw, most: usize) -> Searched {
+pub fn search<M: Model>(start: M, fault: M::Fault, most: usize) -> SearchResult {
     let most = super::variable("MODEL_STATES", most as u64) as usize;
     let mut met = HashSet::from([start.digest()]);
     let mut level = vec![start];
@@ -46,12 +46,12 @@
         let mut next_level = Vec::new();
         for state in level {
             for action in state.actions() {
-                let next = state.after(action, flaw);
+                let next = state.after(action, fault);
                 if let Some(violation) = next.violation().cloned() {
-                    return Searched {
+                    return SearchResult {
                         states: met.len(),
                         depth,
-                        is_whole: false,
+                        is_exhaustive: false,
                         violation: Some(violation),
                     };
                 }
@@ -63,5 +63,5 @@
         level = next_level;
         depth += 1;
     }
-    Searched { states: met.len(), depth, is_whole: level.is_empty(), violation: None }
+    SearchResult { states: met.len(), depth, is_exhaustive: level.is_empty(), violation: None }
 }
--- a/crates/onyxstile-system/tests/support/store_world.rs
+++ b/crates/onyxstile-system/tests/support/store_world.rs
@@ -7,18 +7,19 @@
 
 use onyxstile_system::clock::Instant;
 use onyxstile_system::program::{
-    Assessment, ClaimSummary, Copied, Entry, Key, Progress, Record, RecordIndex, RecordNumber, Source, groups,
+    Assessment, ClaimEntry, ClaimSummary, CopiedChanges, Key, Progress, Record, RecordIndex, RecordNumber,
+    Source, groups,
 };
 use onyxstile_system::storage_plan::{StorageNode, StoragePlan};
 use onyxstile_system::tolerance::Tolerance;
 
 /// How the storage machines depart from what they should do; each has to be caught by the checkers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StoreFlaw {
+pub enum StoreFault {
     /// None: nothing may be caught.
     None,
     /// A machine that lost its disk goes on after 8 s with what it could copy.
-    Patience,
+    Timeout,
     /// Newcomers are waited for like all others.
     WaitsForNewcomers,
     /// A machine that lost its disk answers at once.
@@ -33,7 +34,7 @@
 #[derive(Default, Clone)]
 struct Disk {
     log: BTreeMap<RecordNumber, Record>,
-    is_whole: bool,
+    is_complete: bool,
     synced_epoch: u64,
     /// The newest epoch that it has gone by.
     epoch: u64,
@@ -46,7 +47,7 @@
     index: RecordIndex,
     pub progress: Progress,
     pub plan: Rc<StoragePlan>,
-    origin: u64,
+    incarnation: u64,
     began: u64,
     next: RecordNumber,
     pub down_until: Option<u64>,
@@ -54,36 +55,36 @@
     /// Until then it is cut off from all machines that count; relays reach it.
     pub cut_until: u64,
     /// Until then it is cut off from everybody.
-    pub dark_until: u64,
+    pub isolated_until: u64,
     pub is_gone: bool,
     pub is_disk_lost: bool,
 }
 
 /// An answer to a question for changes.
 pub struct Changes {
-    pub origin: u64,
+    pub incarnation: u64,
     counter: u64,
     epoch: u64,
-    is_whole: bool,
+    is_complete: bool,
     synced_epoch: u64,
     keys: Vec<(Key, u8)>,
 }
 
 impl Store {
-    pub fn new(node: StorageNode, origin: u64, now: u64, is_first_start: bool) -> Store {
+    pub fn new(node: StorageNode, incarnation: u64, now: u64, is_first_start: bool) -> Store {
         Store {
             node,
-            disk: Disk { is_whole: is_first_start, ..Disk::default() },
+            disk: Disk { is_complete: is_first_start, ..Disk::default() },
             index: RecordIndex::default(),
             progress: Progress::default(),
             plan: Rc::default(),
-            origin,
+            incarnation,
             began: now,
             next: 0,
             down_until: None,
             frozen_until: 0,
             cut_until: 0,
-            dark_until: 0,
+            isolated_until: 0,
             is_gone: false,
             is_disk_lost: false,
         }
@@ -97,17 +98,17 @@
         !self.is_gone && self.down_until.is_none() && self.frozen_until <= now
     }
 
-    pub fn is_in_touch(&self, now: u64) -> bool {
-        self.is_gone || (self.is_up(now) && self.cut_until.max(self.dark_until) <= now)
+    pub fn is_reachable(&self, now: u64) -> bool {
+        self.is_gone || (self.is_up(now) && self.cut_until.max(self.isolated_until) <= now)
     }
 
     /// Which life of its process this is.
-    pub fn origin(&self) -> u64 {
-        self.origin
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
-    pub fn is_whole(&self) -> bool {
-        self.disk.is_whole
+    pub fn is_complete(&self) -> bool {
+        self.disk.is_complete
     }
 
     pub fn synced_epoch(&self) -> u64 {
@@ -121,9 +122,9 @@
     }
 
     /// A new process reads what the disk holds.
-    pub fn start(&mut self, origin: u64, now: u64) {
+    pub fn start(&mut self, incarnation: u64, now: u64) {
         self.down_until = None;
-        self.origin = origin;
+        self.incarnation = incarnation;
         self.began = now;
         self.plan = Rc::default();
         self.progress = Progress::default();
@@ -140,13 +141,13 @@
         self.plan.epoch.max(self.disk.epoch)
     }
 
-    pub fn take_plan(&mut self, plan: &Rc<StoragePlan>, flaw: StoreFlaw) {
+    pub fn apply_plan(&mut self, plan: &Rc<StoragePlan>, fault: StoreFault) {
         if plan.epoch > self.plan.epoch {
-            if flaw != StoreFlaw::ForgetsEpoch {
+            if fault != StoreFault::ForgetsEpoch {
                 self.disk.epoch = self.disk.epoch.max(plan.epoch);
             }
             let before = std::mem::replace(&mut self.plan, plan.clone());
-            self.progress.take_plan(self.node.address(), &before, plan);
+            self.progress.apply_plan(self.node.address(), &before, plan);
         }
     }
 
@@ -158,26 +159,26 @@
         self.next += 1;
         self.disk.log.insert(number, record.clone());
         let merge = self.index.merge(Instant::from_millis(now), Duration::ZERO, record, number);
-        merge.superfluous.iter().for_each(|number| drop(self.disk.log.remove(number)));
+        merge.obsolete.iter().for_each(|number| drop(self.disk.log.remove(number)));
     }
 
     pub fn holds_turn(&self, id: &str) -> bool {
         self.index.turn(id).is_some()
     }
 
-    pub fn claims(&self, program: &str) -> (ClaimSummary, Vec<Entry>) {
+    pub fn claims(&self, program: &str) -> (ClaimSummary, Vec<ClaimEntry>) {
         (self.index.claim_summary(program), self.index.claims(program))
     }
 
     /// What it tells of changes after those that `source` has dealt with.
     pub fn changes(&self, source: Source) -> Changes {
-        let after = if source.origin == self.origin { source.counter } else { 0 };
+        let after = if source.incarnation == self.incarnation { source.counter } else { 0 };
         let (keys, _) = self.index.changed_since(after, usize::MAX);
         Changes {
-            origin: self.origin,
+            incarnation: self.incarnation,
             counter: self.index.counter(),
             epoch: self.plan.epoch,
-            is_whole: self.disk.is_whole,
+            is_complete: self.disk.is_complete,
             synced_epoch: self.disk.synced_epoch,
             keys,
         }
@@ -186,9 +187,9 @@
     pub fn record(&self, key: &Key) -> Option<Record> {
         match key {
             Key::Turn(id) => self.disk.log.get(&self.index.turn(id)?).cloned(),
-            Key::Entry(program, request) => {
+            Key::ClaimEntry(program, request) => {
                 let entry = self.index.claim(program, request)?.clone();
-                Some(Record::Entry { program: program.clone(), entry })
+                Some(Record::ClaimEntry { program: program.clone(), entry })
             }
         }
     }
@@ -204,44 +205,46 @@
     }
 
     /// Notes that all of an answer has been copied.
-    pub fn copied(&mut self, now: u64, from: Ipv4Addr, before: Source, changes: &Changes, looked_by: u64) {
-        let copied = Copied {
-            origin: changes.origin,
+    pub fn copied(
+        &mut self, now: u64, from: Ipv4Addr, before: Source, changes: &Changes, evaluated_epoch: u64,
+    ) {
+        let copied = CopiedChanges {
+            incarnation: changes.incarnation,
             counter: changes.counter,
             is_last: true,
             epoch: changes.epoch,
-            is_whole: changes.is_whole,
+            is_complete: changes.is_complete,
             synced_epoch: changes.synced_epoch,
-            looked_by,
+            evaluated_epoch,
         };
         self.progress.note(Instant::from_millis(now), from, before, copied, self.plan.epoch);
     }
 
     /// Looks what it may say.
-    pub fn review(&mut self, now: u64, tolerance: Tolerance, flaw: StoreFlaw) {
+    pub fn review(&mut self, now: u64, tolerance: Tolerance, fault: StoreFault) {
         let own = self.node.address();
         let at = Instant::from_millis(now);
         let mut assessment =
-            self.progress.assess(at, (own, self.node.disk), &self.plan, self.disk.is_whole, tolerance);
+            self.progress.assess(at, (own, self.node.disk), &self.plan, self.disk.is_complete, tolerance);
         let is_missing = |node: &&StorageNode| {
-            node.address() != own && !self.progress.is_complete(node.address(), self.plan.epoch)
+            node.address() != own && !self.progress.is_copied(node.address(), self.plan.epoch)
         };
         let missing = self.plan.all().iter().filter(|node| is_missing(node)).count();
-        match flaw {
-            StoreFlaw::Patience => {
-                assessment.is_whole |= self.plan.epoch > 0 && now > self.began + 8000 && missing <= 1;
+        match fault {
+            StoreFault::Timeout => {
+                assessment.is_complete |= self.plan.epoch > 0 && now > self.began + 8000 && missing <= 1;
             }
-            StoreFlaw::WaitsForNewcomers => {
-                assessment.is_whole &= self.disk.is_whole || missing <= 1;
+            StoreFault::WaitsForNewcomers => {
+                assessment.is_complete &= self.disk.is_complete || missing <= 1;
                 assessment.is_synced &= missing <= 1;
             }
-            StoreFlaw::AnswersWhileEmpty => assessment.is_whole = true,
-            StoreFlaw::EndsAtOnce => {
+            StoreFault::AnswersWhileEmpty => assessment.is_complete = true,
+            StoreFault::EndsAtOnce => {
                 assessment = Assessment { is_synced: self.plan.epoch > 0, ..assessment };
             }
-            StoreFlaw::None | StoreFlaw::ForgetsEpoch => {}
+            StoreFault::None | StoreFault::ForgetsEpoch => {}
         }
-        self.disk.is_whole = assessment.is_whole;
+        self.disk.is_complete = assessment.is_complete;
         if assessment.is_synced {
             self.disk.synced_epoch = self.plan.epoch;
         }
--- a/crates/onyxstile-system/tests/support/tier_world.rs
+++ b/crates/onyxstile-system/tests/support/tier_world.rs
@@ -8,7 +8,7 @@
 
 use onyxstile_system::control::{Operation, Outcome};
 use onyxstile_system::program::{
-    Admission, ClaimSummary, Entry, Quorum, Record, Source, Turn, admit, fits, merge_claims,
+    BudgetDecision, ClaimEntry, ClaimSummary, Quorum, Record, Source, Turn, admit, fits_budget, merge_claims,
 };
 use onyxstile_system::registry::{Copies, holders_needed};
 use onyxstile_system::storage_plan::{Observed, StoragePlan};
@@ -16,7 +16,7 @@
 
 use super::control_world::{CATCH_UP, Flaw, World};
 use super::storage;
-use super::store_world::{Changes, Store, StoreFlaw};
+use super::store_world::{Changes, Store, StoreFault};
 use questions::Asked;
 
 mod copies;
@@ -66,7 +66,7 @@
     pub stores: BTreeMap<Ipv4Addr, Store>,
     pub violations: Vec<String>,
     tolerance: Tolerance,
-    flaw: StoreFlaw,
+    flaw: StoreFault,
     /// What each relay goes by; some hear of changes late.
     relays: Vec<Rc<StoragePlan>>,
     reports: BTreeMap<Ipv4Addr, (u64, u64)>,
@@ -102,7 +102,7 @@
 }
 
 impl Tier {
-    pub fn new(stores: u8, seed: u64, flaw: StoreFlaw) -> Tier {
+    pub fn new(stores: u8, seed: u64, flaw: StoreFault) -> Tier {
         let tolerance = Tolerance::of_machines(1);
         let mut tier = Tier {
             control: World::new(3, 1, seed, Flaw::None),
@@ -238,7 +238,7 @@
         for store in self.stores.values_mut() {
             store.frozen_until = store.frozen_until.min(now);
             store.cut_until = store.cut_until.min(now);
-            store.dark_until = store.dark_until.min(now);
+            store.isolated_until = store.isolated_until.min(now);
             store.down_until = store.down_until.map(|until| until.min(now + within));
         }
     }
@@ -284,20 +284,20 @@
         let now = self.now();
         self.stores
             .get(&ip)
-            .is_some_and(|store| store.is_up(now) && store.cut_until.max(store.dark_until) <= now)
+            .is_some_and(|store| store.is_up(now) && store.cut_until.max(store.isolated_until) <= now)
     }
 
     /// Whether relays reach a storage machine.
     fn is_served_by(&self, ip: Ipv4Addr) -> bool {
         let now = self.now();
-        self.stores.get(&ip).is_some_and(|store| store.is_up(now) && store.dark_until <= now)
+        self.stores.get(&ip).is_some_and(|store| store.is_up(now) && store.isolated_until <= now)
     }
 
     fn watch_calm(&mut self) {
         let now = self.now();
         // Machines that copy so slowly are not back.
         let is_slow = self.copies_one_in > COPIES_ONE_IN;
-        if is_slow || !self.stores.values().all(|store| store.is_in_touch(now)) {
+        if is_slow || !self.stores.values().all(|store| store.is_reachable(now)) {
             self.calm_since = now;
         }
         // Disks count as lost until all machines have been in touch for the time that a return takes.
@@ -335,7 +335,7 @@
                 store.is_gone,
                 store.is_up(self.now()),
                 store.is_disk_lost,
-                store.is_whole(),
+                store.is_complete(),
                 store.plan.epoch,
                 store.synced_epoch()
             )
--- a/crates/onyxstile-system/tests/support/tier_world/copies.rs
+++ b/crates/onyxstile-system/tests/support/tier_world/copies.rs
@@ -17,7 +17,7 @@
                 }
                 let before = self.stores[&to].progress.source(from);
                 let changes = self.stores[&from].changes(before);
-                let (at, began_by) = (now + u64::from(self.roll(6)) * STEP, self.stores[&to].origin());
+                let (at, began_by) = (now + u64::from(self.roll(6)) * STEP, self.stores[&to].incarnation());
                 self.copying.push(Copying { at, to, from, began_by, before, changes });
             }
         }
@@ -39,16 +39,16 @@
         if !self.is_in_reach(to) || !self.is_in_reach(from) || self.roll(20) == 0 {
             return;
         }
-        let Some(store) = self.stores.get(&to).filter(|store| store.origin() == began_by) else {
+        let Some(store) = self.stores.get(&to).filter(|store| store.incarnation() == began_by) else {
             return;
         };
-        let looked_by = store.plan.epoch;
+        let evaluated_epoch = store.plan.epoch;
         let wanted = store.wanted(&changes, self.tolerance);
         let records: Vec<Record> = wanted.iter().filter_map(|key| self.stores[&from].record(key)).collect();
         let now = self.now();
         if let Some(store) = self.stores.get_mut(&to) {
             records.iter().for_each(|record| store.write(now, record));
-            store.copied(now, from, before, &changes, looked_by);
+            store.copied(now, from, before, &changes, evaluated_epoch);
         }
     }
 }
--- a/crates/onyxstile-system/tests/support/tier_world/plans.rs
+++ b/crates/onyxstile-system/tests/support/tier_world/plans.rs
@@ -17,7 +17,7 @@
             if let Some(plan) = plan(self, from).filter(|_| is_reached)
                 && let Some(store) = self.stores.get_mut(&ip)
             {
-                store.take_plan(&plan, self.flaw);
+                store.apply_plan(&plan, self.flaw);
                 self.reports.insert(ip, (store.synced_epoch(), self.control.now));
             }
         }
--- a/crates/onyxstile-system/tests/support/tier_world/questions.rs
+++ b/crates/onyxstile-system/tests/support/tier_world/questions.rs
@@ -9,9 +9,9 @@
     /// To find one; whether it was kept when the question was asked.
     Find(String, bool),
     /// To let a turn of a program run.
-    Claim { program: String, entry: Entry },
+    Claim { program: String, entry: ClaimEntry },
     /// To settle a claim.
-    Settle { program: String, entry: Entry },
+    Settle { program: String, entry: ClaimEntry },
 }
 
 impl Question {
@@ -20,7 +20,7 @@
             Question::Keep(id) => Some(Record::Turn(turn(id))),
             Question::Find(..) => None,
             Question::Claim { program, entry } | Question::Settle { program, entry } => {
-                Some(Record::Entry { program: program.clone(), entry: entry.clone() })
+                Some(Record::ClaimEntry { program: program.clone(), entry: entry.clone() })
             }
         }
     }
@@ -43,7 +43,7 @@
     arriving: Vec<(u64, Ipv4Addr)>,
     written: Vec<(u64, Ipv4Addr, u64)>,
     summaries: Vec<ClaimSummary>,
-    claims: Vec<Entry>,
+    claims: Vec<ClaimEntry>,
 }
 
 impl Tier {
@@ -89,8 +89,11 @@
     pub fn run_turn(&mut self) {
         self.next += 1;
         let program = format!("p{}", self.next / 60);
-        let entry =
-            Entry { request: format!("r{}", self.next), most: 1 + u64::from(self.roll(100)), settled: None };
+        let entry = ClaimEntry {
+            request: format!("r{}", self.next),
+            max_tokens: 1 + u64::from(self.roll(100)),
+            settled: None,
+        };
         self.ask(Question::Claim { program, entry });
     }
 
@@ -116,7 +119,7 @@
                 return false;
             } else {
                 let at = now + u64::from(self.roll(4)) * STEP;
-                asked.written.push((at, ip, self.stores[&ip].origin()));
+                asked.written.push((at, ip, self.stores[&ip].incarnation()));
             }
         }
         let (due, written) = asked.written.iter().copied().partition(|(at, _, _)| *at <= now);
@@ -128,7 +131,8 @@
     /// A storage machine's disk has taken a question's record, and its answer goes back; false once the question has ended.
     pub(super) fn answer(&mut self, asked: &mut Asked, ip: Ipv4Addr, life: u64) -> bool {
         let now = self.now();
-        let Some(store) = self.stores.get_mut(&ip).filter(|store| store.is_up(now) && store.origin() == life)
+        let Some(store) =
+            self.stores.get_mut(&ip).filter(|store| store.is_up(now) && store.incarnation() == life)
         else {
             asked.arriving.push((now + 125, ip));
             return true;
@@ -136,9 +140,9 @@
         if let Some(record) = asked.question.record() {
             store.write(now, &record);
         }
-        let (is_newer, dark) = (store.epoch() > asked.epoch, store.dark_until > now);
+        let (is_newer, dark) = (store.epoch() > asked.epoch, store.isolated_until > now);
         // By an older plan the turn may be looked for where it was never written.
-        let is_whole = store.is_whole() && !is_newer;
+        let is_whole = store.is_complete() && !is_newer;
         if self.refuses_epoch(asked, ip) {
             return false;
         }
@@ -197,12 +201,14 @@
                 self.kept.insert(id.clone());
             }
             Question::Claim { program, entry } => {
-                let fits = match admit(BUDGET, &entry.request, entry.most, &asked.summaries) {
-                    Admission::Fits => true,
-                    Admission::Spent => false,
-                    Admission::Unsure => fits(BUDGET, &entry.request, entry.most, &asked.claims),
+                let fits = match admit(BUDGET, &entry.request, entry.max_tokens, &asked.summaries) {
+                    BudgetDecision::Fits => true,
+                    BudgetDecision::Exhausted => false,
+                    BudgetDecision::Inconclusive => {
+                        fits_budget(BUDGET, &entry.request, entry.max_tokens, &asked.claims)
+                    }
                 };
-                let tokens = if fits { u64::from(self.roll(entry.most as u32 + 1)) } else { 0 };
+                let tokens = if fits { u64::from(self.roll(entry.max_tokens as u32 + 1)) } else { 0 };
                 *self.received.entry(program.clone()).or_default() += tokens;
                 let total = self.received[program];
                 if total > BUDGET {
@@ -212,7 +218,7 @@
                 self.see(if fits { "turns let in" } else { "turns refused by their budget" });
                 // A relay that dies leaves its claim as it is.
                 if self.roll(8) > 0 {
-                    let entry = Entry { settled: Some(tokens), ..entry.clone() };
+                    let entry = ClaimEntry { settled: Some(tokens), ..entry.clone() };
                     let program = program.clone();
                     self.ask(Question::Settle { program, entry });
                 }
--- a/crates/onyxstile-system/tests/tier_histories.rs
+++ b/crates/onyxstile-system/tests/tier_histories.rs
@@ -4,12 +4,12 @@
 mod support;
 
 use support::control_world::CATCH_UP;
-use support::store_world::StoreFlaw;
+use support::store_world::StoreFault;
 use support::tier_world::{COPIES_ONE_IN, Tier};
 use support::variable;
 
 /// One history; what the checkers found, or `Err` where service does not return.
-fn play(seed: u64, flaw: StoreFlaw) -> (Tier, Result<(), String>) {
+fn play(seed: u64, flaw: StoreFault) -> (Tier, Result<(), String>) {
     let stores = 3 + (seed % 3) as u8;
     let mut tier = Tier::new(stores, seed, flaw);
     tier.run(1500);
@@ -73,7 +73,7 @@
         0 => tier.kill_store(store, time),
         1 => tier.stores.get_mut(&store).expect("a machine").frozen_until = until,
         2 => tier.stores.get_mut(&store).expect("a machine").cut_until = until,
-        3 => tier.stores.get_mut(&store).expect("a machine").dark_until = until,
+        3 => tier.stores.get_mut(&store).expect("a machine").isolated_until = until,
         4..=6 if may_lose => tier.wipe_store(store, time),
         7 if may_lose => tier.replace_store(store),
         8 => {
@@ -111,7 +111,7 @@
 /// Turns run while one machine is away; others follow on them.
 fn keep_without(tier: &mut Tier, away: std::net::Ipv4Addr) {
     let until = tier.now() + 700;
-    tier.stores.get_mut(&away).expect("a machine").dark_until = until;
+    tier.stores.get_mut(&away).expect("a machine").isolated_until = until;
     for _ in 0..6 {
         tier.keep_turn();
         tier.run_turn();
@@ -137,7 +137,7 @@
     keep_without(tier, members[0]);
     if tier.disks_lost() < 1 {
         let until = tier.now() + 20_000;
-        tier.stores.get_mut(&members[1]).expect("a machine").dark_until = until;
+        tier.stores.get_mut(&members[1]).expect("a machine").isolated_until = until;
         tier.wipe_store(members[2], 100);
     }
     follow(tier);
@@ -187,7 +187,7 @@
     let first = variable("FIRST", 0);
     let mut seen = std::collections::BTreeMap::new();
     for seed in first..first + variable("HISTORIES", 20) {
-        let (tier, returned) = play(seed, StoreFlaw::None);
+        let (tier, returned) = play(seed, StoreFault::None);
         assert!(tier.violations.is_empty(), "seed {seed}: {:?}", tier.violations);
         assert!(returned.is_ok(), "seed {seed}: turns are not kept, or a change does not end\n{returned:?}");
         for (what, count) in tier.seen {
@@ -206,7 +206,7 @@
     }
 }
 
-fn breaks_a_rule(flaw: StoreFlaw) -> bool {
+fn breaks_a_rule(flaw: StoreFault) -> bool {
     let caught = (0..400).find(|seed| !play(*seed, flaw).0.violations.is_empty());
     println!("{flaw:?}: caught by seed {caught:?}");
     caught.is_some()
@@ -214,27 +214,27 @@
 
 #[test]
 fn the_checkers_catch_a_copy_that_time_makes() {
-    assert!(breaks_a_rule(StoreFlaw::Patience));
+    assert!(breaks_a_rule(StoreFault::Timeout));
 }
 
 #[test]
 fn the_checkers_catch_a_machine_that_answers_before_it_has_copied() {
-    assert!(breaks_a_rule(StoreFlaw::AnswersWhileEmpty));
+    assert!(breaks_a_rule(StoreFault::AnswersWhileEmpty));
 }
 
 #[test]
 fn the_checkers_catch_a_change_that_ends_before_the_copies_are_made() {
-    assert!(breaks_a_rule(StoreFlaw::EndsAtOnce));
+    assert!(breaks_a_rule(StoreFault::EndsAtOnce));
 }
 
 /// By argument first: a machine that was restarted knew no plan and let relays that were behind write and look where nobody
 /// looks any more.
 #[test]
 fn the_checkers_catch_a_machine_that_forgets_which_plans_it_has_gone_by() {
-    assert!(breaks_a_rule(StoreFlaw::ForgetsEpoch));
+    assert!(breaks_a_rule(StoreFault::ForgetsEpoch));
 }
 
 #[test]
 fn the_checkers_catch_newcomers_that_wait_for_each_other() {
-    assert!((0..200).any(|seed| play(seed, StoreFlaw::WaitsForNewcomers).1.is_err()));
+    assert!((0..200).any(|seed| play(seed, StoreFault::WaitsForNewcomers).1.is_err()));
 }
--- a/crates/onyxstile-system/tests/tolerance.rs
+++ b/crates/onyxstile-system/tests/tolerance.rs
@@ -6,7 +6,7 @@
 
 use onyxstile_system::program::groups;
 use onyxstile_system::storage_plan::StoragePlan;
-use onyxstile_system::tolerance::{Place, Tolerance};
+use onyxstile_system::tolerance::{Location, Tolerance};
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 use support::{ONE, place, storage_in};
@@ -16,7 +16,7 @@
 }
 
 /// One place for each letter: capital letters are regions, small ones zones of the region before them.
-fn places(text: &str) -> Vec<Place> {
+fn places(text: &str) -> Vec<Location> {
     let mut region = 'R';
     let mut places = Vec::new();
     for letter in text.chars() {
@@ -29,30 +29,30 @@
     places
 }
 
-fn spread(tolerance: Tolerance, text: &str) -> Vec<usize> {
+fn select_group(tolerance: Tolerance, text: &str) -> Vec<usize> {
     let places = places(text);
-    tolerance.spread(&places.iter().collect::<Vec<_>>())
+    tolerance.select_group(&places.iter().collect::<Vec<_>>())
 }
 
 #[test]
 fn without_zones_to_lose_the_best_ranked_are_chosen() {
-    assert_eq!(spread(ONE, "aaaab"), [0, 1, 2]);
-    assert_eq!(spread(tolerance(2, 0, 0), "aaaabb"), [0, 1, 2, 3, 4]);
+    assert_eq!(select_group(ONE, "aaaab"), [0, 1, 2]);
+    assert_eq!(select_group(tolerance(2, 0, 0), "aaaabb"), [0, 1, 2, 3, 4]);
 }
 
 #[test]
 fn no_more_stand_in_a_zone_or_region_than_its_loss_may_take() {
-    assert_eq!(spread(tolerance(1, 1, 0), "aabbc"), [0, 2, 4]);
-    assert_eq!(spread(tolerance(2, 1, 0), "aaabbbc"), [0, 1, 3, 4, 6]);
-    assert_eq!(spread(tolerance(1, 1, 1), "AabBabCab"), [0, 2, 4]);
-    assert_eq!(spread(tolerance(2, 0, 1), "AabcBabcCabc"), [0, 1, 3, 4, 6]);
-    assert_eq!(spread(tolerance(1, 1, 0), "AaBaCa"), [0, 1, 2], "zones of one name in three regions");
+    assert_eq!(select_group(tolerance(1, 1, 0), "aabbc"), [0, 2, 4]);
+    assert_eq!(select_group(tolerance(2, 1, 0), "aaabbbc"), [0, 1, 3, 4, 6]);
+    assert_eq!(select_group(tolerance(1, 1, 1), "AabBabCab"), [0, 2, 4]);
+    assert_eq!(select_group(tolerance(2, 0, 1), "AabcBabcCabc"), [0, 1, 3, 4, 6]);
+    assert_eq!(select_group(tolerance(1, 1, 0), "AaBaCa"), [0, 1, 2], "zones of one name in three regions");
 }
 
 #[test]
 fn where_no_group_keeps_the_caps_as_many_copies_are_made_all_the_same() {
-    assert_eq!(spread(tolerance(1, 1, 0), "aabb"), [0, 1, 2]);
-    assert_eq!(spread(tolerance(1, 1, 0), "ab"), [0, 1]);
+    assert_eq!(select_group(tolerance(1, 1, 0), "aabb"), [0, 1, 2]);
+    assert_eq!(select_group(tolerance(1, 1, 0), "ab"), [0, 1]);
 }
 
 #[test]
@@ -109,36 +109,38 @@
 /// kind; and whatever a plan may give up without breaking that, it keeps that.
 #[test]
 fn whatever_the_places_a_group_that_can_bear_a_loss_bears_it() {
-    let mut borne = 0;
+    let mut satisfiable = 0;
     for seed in 0..4000u64 {
-        let mut random = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
-        let mut roll = |sides: u32| random.next_u32() % sides;
+        let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
+        let mut roll = |sides: u32| rng.next_u32() % sides;
         let tolerance = tolerance(roll(3) as usize, roll(3) as usize, roll(2) as usize);
-        let stand: Vec<Place> =
+        let stand: Vec<Location> =
             (0..1 + roll(12)).map(|_| place(&format!("r{}", roll(3)), &format!("z{}", roll(4)))).collect();
-        let places: Vec<&Place> = stand.iter().collect();
-        let chosen: Vec<&Place> = tolerance.spread(&places).into_iter().map(|index| places[index]).collect();
+        let places: Vec<&Location> = stand.iter().collect();
+        let chosen: Vec<&Location> =
+            tolerance.select_group(&places).into_iter().map(|index| places[index]).collect();
         assert_eq!(chosen.len(), tolerance.group_size().min(places.len()), "seed {seed}");
-        if !tolerance.is_borne_by(&places) {
+        if !tolerance.can_be_met_by(&places) {
             continue;
         }
-        borne += 1;
+        satisfiable += 1;
         let quorum = chosen.len() / 2 + 1;
-        let left_without = |lost: &dyn Fn(&Place) -> bool| chosen.iter().filter(|place| !lost(place)).count();
-        let zones: BTreeSet<&Place> = places.iter().copied().collect();
+        let left_without =
+            |lost: &dyn Fn(&Location) -> bool| chosen.iter().filter(|place| !lost(place)).count();
+        let zones: BTreeSet<&Location> = places.iter().copied().collect();
         let regions: BTreeSet<&str> = places.iter().map(|place| place.region.as_str()).collect();
         for lost in &zones {
             let others = zones.iter().filter(|other| *other != lost);
             for second in others.chain([lost]) {
-                let is_lost = |place: &Place| place == *lost || (tolerance.zones > 1 && place == *second);
+                let is_lost = |place: &Location| place == *lost || (tolerance.zones > 1 && place == *second);
                 assert!(tolerance.zones == 0 || left_without(&is_lost) >= quorum, "seed {seed}: {lost:?}");
             }
         }
         for lost in regions {
-            let is_lost = |place: &Place| place.region == lost;
+            let is_lost = |place: &Location| place.region == lost;
             assert!(tolerance.regions == 0 || left_without(&is_lost) >= quorum, "seed {seed}: {lost}");
         }
         assert!(chosen.len() - tolerance.machines >= quorum, "seed {seed}");
     }
-    assert!(borne > 400, "{borne} of 4,000 can bear their losses");
+    assert!(satisfiable > 400, "{satisfiable} of 4,000 can bear their losses");
 }
--- a/crates/onyxstile-system/tests/turn_model.rs
+++ b/crates/onyxstile-system/tests/turn_model.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 use onyxstile_system::clock::Instant;
-use onyxstile_system::program::{Copied, Progress, Quorum};
+use onyxstile_system::program::{CopiedChanges, Progress, Quorum};
 use onyxstile_system::storage_plan::{Observed, StorageNode, StoragePlan};
-use support::search::{self, Model, Searched};
+use support::search::{self, Model, SearchResult};
 use support::{ONE, address, plan, storage};
 
 const STATES: usize = 8_000;
@@ -26,7 +26,7 @@
 const EPOCHS: u64 = 5;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Flaw {
+enum Fault {
     None,
     /// A wiped machine is whole at once.
     AnswersWhileEmpty,
@@ -35,19 +35,19 @@
     /// The change ends as soon as all go by the plan.
     EndsAtOnce,
     /// A write is acknowledged by the plan that it began with.
-    NoSecondLook,
+    NoEpochRecheck,
 }
 
 #[derive(Debug, Clone)]
 struct Store {
     disk: u64,
     /// On its disk.
-    has: bool,
-    is_whole: bool,
+    has_record: bool,
+    is_complete: bool,
     synced: u64,
     epoch: u64,
     /// In its memory.
-    life: u64,
+    incarnation: u64,
     plan: u64,
     progress: Progress,
     /// A write that its disk has yet to take.
@@ -82,7 +82,7 @@
     /// The epoch that the relay went by when it sent the record.
     sent_by: u64,
     acknowledged: Vec<bool>,
-    is_kept: bool,
+    is_acknowledged: bool,
     now: u64,
     wipes: u8,
     restarts: u8,
@@ -107,11 +107,11 @@
     fn start(joins: bool, wipes: u8, restarts: u8, cuts: u8) -> State {
         let store = |number: u8| Store {
             disk: 1,
-            has: false,
-            is_whole: !joins || number != LEAVES,
+            has_record: false,
+            is_complete: !joins || number != LEAVES,
             synced: 0,
             epoch: 0,
-            life: 1,
+            incarnation: 1,
             plan: 0,
             progress: Progress::default(),
             is_writing: false,
@@ -128,7 +128,7 @@
             is_retired: joins,
             sent_by: 0,
             acknowledged: vec![false; MACHINES.len()],
-            is_kept: false,
+            is_acknowledged: false,
             now: 0,
             wipes,
             restarts,
@@ -136,7 +136,7 @@
             waits: cuts,
             violation: None,
         };
-        ALL.into_iter().for_each(|index| state.learn(index, Flaw::None));
+        ALL.into_iter().for_each(|index| state.learn(index, Fault::None));
         state
     }
 
@@ -157,7 +157,7 @@
     fn copies(&self, to: usize) -> Vec<Action> {
         let store = &self.stores[to];
         let plan = self.plan(store.plan);
-        if store.is_whole && (!plan.is_changing() || !plan.current.contains(&self.node(to))) {
+        if store.is_complete && (!plan.is_changing() || !plan.current.contains(&self.node(to))) {
             return Vec::new();
         }
         let members = plan.all();
@@ -165,7 +165,7 @@
             let source = &self.stores[*from];
             *from != to
                 && self.is_up(*from)
-                && (source.is_whole || source.synced > 0)
+                && (source.is_complete || source.synced > 0)
                 && members.iter().any(|node| node.address() == address(MACHINES[*from]))
         };
         (0..MACHINES.len()).filter(is_asked).map(|from| Action::Copy(to, from)).collect()
@@ -173,7 +173,7 @@
 
     fn restart(&mut self, index: usize) {
         let store = &mut self.stores[index];
-        store.life += 1;
+        store.incarnation += 1;
         store.plan = 0;
         store.progress = Progress::default();
         store.is_writing = false;
@@ -185,28 +185,28 @@
         store.is_writing = store.epoch.max(store.plan) <= self.sent_by;
     }
 
-    fn write(&mut self, index: usize, flaw: Flaw) {
+    fn write(&mut self, index: usize, fault: Fault) {
         let store = &mut self.stores[index];
         store.is_writing = false;
-        store.has = true;
-        if store.epoch.max(store.plan) > self.sent_by && flaw != Flaw::NoSecondLook {
+        store.has_record = true;
+        if store.epoch.max(store.plan) > self.sent_by && fault != Fault::NoEpochRecheck {
             return;
         }
         self.acknowledged[index] = true;
         let mut quorum = Quorum::new(&self.plan(self.sent_by), &key(), ONE);
         let acknowledged = (0..MACHINES.len()).filter(|index| self.acknowledged[*index]);
-        self.is_kept |= acknowledged.fold(false, |_, index| quorum.count(address(MACHINES[index])));
+        self.is_acknowledged |= acknowledged.fold(false, |_, index| quorum.count(address(MACHINES[index])));
     }
 
-    fn learn(&mut self, index: usize, flaw: Flaw) {
+    fn learn(&mut self, index: usize, fault: Fault) {
         let plan = self.plan(self.agreed);
         let before = self.plan(self.stores[index].plan);
         let store = &mut self.stores[index];
         store.plan = self.agreed;
-        if flaw != Flaw::ForgetsEpoch {
+        if fault != Fault::ForgetsEpoch {
             store.epoch = store.epoch.max(self.agreed);
         }
-        store.progress.take_plan(address(MACHINES[index]), &before, &plan);
+        store.progress.apply_plan(address(MACHINES[index]), &before, &plan);
     }
 
     fn copy(&mut self, to: usize, from: usize) {
@@ -214,17 +214,17 @@
         let before = self.stores[to].progress.source(address(MACHINES[from]));
         let now = Instant::from_millis(self.now);
         let own_plan = self.stores[to].plan;
-        let copied = Copied {
-            origin: source.life,
-            counter: u64::from(source.has),
+        let copied = CopiedChanges {
+            incarnation: source.incarnation,
+            counter: u64::from(source.has_record),
             is_last: true,
             epoch: source.plan,
-            is_whole: source.is_whole,
+            is_complete: source.is_complete,
             synced_epoch: source.synced,
-            looked_by: own_plan,
+            evaluated_epoch: own_plan,
         };
         let store = &mut self.stores[to];
-        store.has |= source.has;
+        store.has_record |= source.has_record;
         store.progress.note(now, address(MACHINES[from]), before, copied, own_plan);
     }
 
@@ -235,8 +235,8 @@
         for (index, store) in self.stores.iter_mut().enumerate() {
             let plan = &plans[store.plan as usize];
             let own = (address(MACHINES[index]), store.disk);
-            let assessment = store.progress.assess(now, own, plan, store.is_whole, ONE);
-            store.is_whole = assessment.is_whole;
+            let assessment = store.progress.assess(now, own, plan, store.is_complete, ONE);
+            store.is_complete = assessment.is_complete;
             if assessment.is_synced {
                 store.synced = store.synced.max(store.plan);
             }
@@ -244,7 +244,7 @@
     }
 
     /// The head writes the next plan, if there is one: at first that 1 leaves and 4 joins, and whatever the code makes of it.
-    fn agree(&mut self, flaw: Flaw) {
+    fn agree(&mut self, fault: Fault) {
         let newest = self.plan(self.agreed);
         if !self.is_retired
             && let Ok(Some(next)) = newest.retire("storage-1", ONE, &[])
@@ -256,7 +256,7 @@
         let observe = |(index, store): (usize, &Store)| Observed {
             node: self.node(index),
             dead_for: (store.is_cut || store.is_gone).then_some(Duration::from_secs(1)),
-            synced: if flaw == Flaw::EndsAtOnce { store.plan } else { store.synced },
+            synced: if fault == Fault::EndsAtOnce { store.plan } else { store.synced },
         };
         let observed: Vec<Observed> = self.stores.iter().enumerate().map(observe).collect();
         if let Some(next) = newest.next(&observed, ONE) {
@@ -274,20 +274,23 @@
     }
 
     fn check(&mut self) {
-        if !self.is_kept {
+        if !self.is_acknowledged {
             return;
         }
-        if !self.stores.iter().any(|store| store.has && !store.is_gone) {
+        if !self.stores.iter().any(|store| store.has_record && !store.is_gone) {
             self.violation = Some("a kept record is nowhere".into());
         }
         for epoch in 1..=self.agreed {
             let mut quorum = Quorum::new(&self.plan(epoch), &key(), ONE);
-            let says_nowhere = |index: &usize| {
+            let reports_absent = |index: &usize| {
                 let store = &self.stores[*index];
                 // Whoever is cut off from the others still answers relays.
-                !store.is_gone && store.is_whole && !store.has && store.epoch.max(store.plan) <= epoch
+                !store.is_gone
+                    && store.is_complete
+                    && !store.has_record
+                    && store.epoch.max(store.plan) <= epoch
             };
-            let absent = (0..MACHINES.len()).filter(says_nowhere);
+            let absent = (0..MACHINES.len()).filter(reports_absent);
             if absent.fold(false, |_, index| quorum.count(address(MACHINES[index]))) {
                 self.violation = Some(format!("a quorum by plan {epoch} says that a kept record is nowhere"));
             }
@@ -308,7 +311,7 @@
 
 impl Model for State {
     type Action = Action;
-    type Flaw = Flaw;
+    type Fault = Fault;
 
     fn actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -349,21 +352,21 @@
         actions
     }
 
-    fn after(&self, action: Action, flaw: Flaw) -> State {
+    fn after(&self, action: Action, fault: Fault) -> State {
         let mut next = self.clone();
         match action {
             Action::Send => next.sent_by = next.agreed,
             Action::Arrive(index) => next.arrive(index),
-            Action::Write(index) => next.write(index, flaw),
-            Action::Learn(index) => next.learn(index, flaw),
+            Action::Write(index) => next.write(index, fault),
+            Action::Learn(index) => next.learn(index, fault),
             Action::Copy(to, from) => next.copy(to, from),
-            Action::Agree => next.agree(flaw),
+            Action::Agree => next.agree(fault),
             Action::Wipe(index) => {
                 next.wipes -= 1;
-                let is_whole = flaw == Flaw::AnswersWhileEmpty;
+                let is_complete = fault == Fault::AnswersWhileEmpty;
                 let store = &mut next.stores[index];
                 store.disk += 1;
-                (store.has, store.is_whole, store.synced, store.epoch) = (false, is_whole, 0, 0);
+                (store.has_record, store.is_complete, store.synced, store.epoch) = (false, is_complete, 0, 0);
                 next.restart(index);
             }
             Action::Restart(index) => {
@@ -390,7 +393,7 @@
             "{} {} {} {} {} {} {} {} {:?} {}",
             self.agreed,
             self.sent_by,
-            self.is_kept,
+            self.is_acknowledged,
             self.now,
             self.wipes,
             self.restarts,
@@ -401,15 +404,17 @@
         );
         for index in ALL {
             let store = &self.stores[index];
-            let Store { disk, has, is_whole, synced, epoch, plan, is_writing, is_cut, is_gone, .. } = store;
+            let Store {
+                disk, has_record, is_complete, synced, epoch, plan, is_writing, is_cut, is_gone, ..
+            } = store;
             text += &format!(
-                " / {disk} {has} {is_whole} {synced} {epoch} {plan} {is_writing} {is_cut} {is_gone} {}",
+                " / {disk} {has_record} {is_complete} {synced} {epoch} {plan} {is_writing} {is_cut} {is_gone} {}",
                 self.acknowledged[index]
             );
             for other in ALL {
                 let mut source = store.progress.source(address(MACHINES[other]));
                 // Of lives it matters only whether they are the same.
-                source.origin = u64::from(source.origin == self.stores[other].life);
+                source.incarnation = u64::from(source.incarnation == self.stores[other].incarnation);
                 text += &format!(" {source:?}");
             }
         }
@@ -421,8 +426,8 @@
     }
 }
 
-fn search(state: State, flaw: Flaw) -> Searched {
-    search::search(state, flaw, STATES)
+fn search(state: State, fault: Fault) -> SearchResult {
+    search::search(state, fault, STATES)
 }
 
 #[test]
@@ -435,19 +440,19 @@
         ("one joins, a wipe", State::start(true, 1, 0, 0)),
         ("one joins, a wipe and a cut", State::start(true, 1, 0, 1)),
     ] {
-        let searched = search(start, Flaw::None);
+        let searched = search(start, Fault::None);
         searched.report(name);
         assert_eq!(searched.violation, None, "{name}");
-        assert!(searched.is_whole || searched.depth >= 4, "{name}: depth {}", searched.depth);
+        assert!(searched.is_exhaustive || searched.depth >= 4, "{name}: depth {}", searched.depth);
     }
 }
 
 /// What rule is broken on the way through some steps, if any.
-fn is_caught(flaw: Flaw, steps: &[Action]) -> Option<String> {
+fn violation_after(fault: Fault, steps: &[Action]) -> Option<String> {
     let mut state = State::start(false, 1, 1, 1);
     for step in steps {
         assert!(state.actions().contains(step), "{step:?} is possible");
-        state = state.after(*step, flaw);
+        state = state.after(*step, fault);
         if state.violation.is_some() {
             return state.violation;
         }
@@ -471,19 +476,20 @@
     // 1 and `one` keep it, `other` missed it; then `one` loses its disk.
     let kept = [&[Send][..], &written(0), &written(one)].concat();
     let wiped = [&kept[..], &[Wipe(one), Learn(one)]].concat();
-    assert!(is_caught(Flaw::AnswersWhileEmpty, &wiped).is_some());
-    assert_eq!(is_caught(Flaw::None, &wiped), None);
+    assert!(violation_after(Fault::AnswersWhileEmpty, &wiped).is_some());
+    assert_eq!(violation_after(Fault::None, &wiped), None);
     // The change ends and 1 is taken away, when `one` loses its disk.
     let ended = [&kept[..], &[Agree], &learn, &[Agree, Wipe(one)]].concat();
-    assert!(is_caught(Flaw::EndsAtOnce, &ended).is_some());
+    assert!(violation_after(Fault::EndsAtOnce, &ended).is_some());
     // 1 is cut off and hears of nothing while the others copy; then `one` is restarted, and both take the record by the
     // first plan.
-    let among: Vec<Action> = copies.iter().copied().filter(|copy| !matches!(copy, Copy(_, 0))).collect();
+    let copies_without_first: Vec<Action> =
+        copies.iter().copied().filter(|copy| !matches!(copy, Copy(_, 0))).collect();
     let behind = [
         &[Send, Agree][..],
         &learn,
         &[Cut(0)],
-        &among,
+        &copies_without_first,
         &[Restart(one)],
         &written(one),
         &[Heal(0)],
@@ -491,7 +497,7 @@
         &[Agree],
     ]
     .concat();
-    assert!(is_caught(Flaw::ForgetsEpoch, &behind).is_some());
+    assert!(violation_after(Fault::ForgetsEpoch, &behind).is_some());
     // The record arrives before the plan and reaches the disks after the copies were made.
     let late = [
         &[Send, Arrive(0), Arrive(one), Agree, Learn(0)][..],
@@ -500,6 +506,6 @@
         &[Write(0), Write(one), Agree],
     ]
     .concat();
-    assert!(is_caught(Flaw::NoSecondLook, &late).is_some());
-    assert_eq!(is_caught(Flaw::None, &late), None);
+    assert!(violation_after(Fault::NoEpochRecheck, &late).is_some());
+    assert_eq!(violation_after(Fault::None, &late), None);
 }
