--- a/crates/onyxstile-system/src/program/repair.rs
+++ b/crates/onyxstile-system/src/program/repair.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Source {
     /// The life of that machine that the counter belongs to.
-    pub incarnation: u64,
+    pub origin: u64,
     /// The newest of its changes that was dealt with.
     pub counter: u64,
     /// The epoch that both went by when all its changes had been dealt with; 0 if they never were.
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct CopiedChanges {
     /// The life of that machine.
-    pub incarnation: u64,
+    pub origin: u64,
     /// The newest change that was among the answer's.
     pub counter: u64,
     /// Whether there were no later ones.
@@ -79,7 +79,7 @@
 impl Progress {
     /// Goes by a newer plan; returns the machines that have to be copied from and weren't before.
     pub fn apply_plan(&mut self, own: Ipv4Addr, before: &StoragePlan, plan: &StoragePlan) -> Vec<Ipv4Addr> {
-        if !plan.places_as(before) {
+        if !plan.has_same_placement(before) {
             // Other keys are its own now: what was passed over has to be looked at again.
             self.sources.values_mut().for_each(|source| *source = Source::default());
         }
@@ -111,12 +111,12 @@
         if copied.is_complete {
             source.last_complete_reply = Some(now);
         }
-        let was_reset = source.incarnation != before.incarnation || source.counter != before.counter;
+        let was_reset = source.origin != before.origin || source.counter != before.counter;
         if was_reset || copied.evaluated_epoch != epoch {
             // A plan came in between; the answer was looked at by the old one.
             return;
         }
-        source.incarnation = copied.incarnation;
+        source.origin = copied.origin;
         source.counter = copied.counter;
         if copied.is_last && copied.is_complete {
             source.copied_epoch = copied.epoch.min(epoch);
@@ -137,11 +137,11 @@
         tolerance: Tolerance,
     ) -> Assessment {
         let (own, disk) = own;
-        if !plan.holds(own, disk) {
+        if !plan.includes(own, disk) {
             // It is to hold nothing, which says nothing of what a later plan gives it.
             return Assessment { is_complete, is_synced: false };
         }
-        let settled = plan.settled();
+        let settled = plan.committed_members();
         let is_copied = |node: &StorageNode| self.is_copied(node.address(), plan.epoch);
         let missing = missing(settled, own, is_copied);
         let has_copied_current = self.has_copied_current(own, plan, tolerance);
@@ -175,13 +175,13 @@
 }
 
 fn locations<'a>(nodes: &[&'a StorageNode]) -> Vec<&'a Location> {
-    nodes.iter().map(|node| &node.place).collect()
+    nodes.iter().map(|node| &node.location).collect()
 }
 
 /// The places of missing machines, and of this one where its lost disk may have been one of a quorum among `members`.
 fn with_own_loss<'a>(
     missing: &[&'a StorageNode], members: &'a [StorageNode], own: Ipv4Addr,
 ) -> Vec<&'a Location> {
-    let own_loss = members.iter().filter(|node| node.address() == own).map(|node| &node.place);
+    let own_loss = members.iter().filter(|node| node.address() == own).map(|node| &node.location);
     locations(missing).into_iter().chain(own_loss).collect()
 }
--- a/crates/onyxstile-system/src/role/agent.rs
+++ b/crates/onyxstile-system/src/role/agent.rs
@@ -19,7 +19,7 @@
 use crate::clock::SteadyClock;
 use crate::evidence::Evidence;
 use crate::feed_state::{FeedState, FeedUpdate};
-use crate::figures::Figures;
+use crate::metrics::Metrics;
 use crate::settings::Settings;
 use crate::wire::{Feed, Request, Response};
 
@@ -85,8 +85,10 @@
         let changes = gather(clock, &mut news, known).await;
         let feed = if fed.is_some() { changes } else { known.borrow().snapshot() };
         match client.call(proxy, &Request::Feed(feed), FEED_PATIENCE).await {
-            Ok(Response::Fed { life, evidence: shown }) if fed.is_none_or(|known| known == life) => {
-                fed = Some(life);
+            Ok(Response::FeedAccepted { incarnation, evidence: shown })
+                if fed.is_none_or(|known| known == incarnation) =>
+            {
+                fed = Some(incarnation);
                 *evidence.borrow_mut() = shown;
             }
             result => {
@@ -115,8 +117,8 @@
 }
 
 /// What an agent tells of itself in figures.
-fn figures(known: &FeedState) -> Figures {
-    let mut figures = Figures::default();
+fn figures(known: &FeedState) -> Metrics {
+    let mut figures = Metrics::default();
     let whole = known.snapshot();
     figures.flag("fresh", "Whether a majority of the controllers was heard since the start.", whole.is_fresh);
     let help = "Time from the start until it was heard; -1 before.";
--- a/crates/onyxstile-system/src/role/storage/repair.rs
+++ b/crates/onyxstile-system/src/role/storage/repair.rs
@@ -51,7 +51,7 @@
             let is_copied = self.repair.borrow().is_copied(ip, self.plan.borrow().epoch);
             let wait = if is_copied { WAIT } else { Duration::ZERO };
             let request = Request::Changes {
-                origin: source.incarnation,
+                origin: source.origin,
                 counter: source.counter,
                 wait_ms: wait.as_millis() as u64,
             };
@@ -70,7 +70,7 @@
     }
 
     async fn copy(&self, ip: Ipv4Addr, before: Source, response: Response) {
-        let Response::Changes { origin, counter, is_last, epoch, is_whole, synced_epoch, keys } = response
+        let Response::Changes { origin, counter, is_last, epoch, is_complete, synced_epoch, keys } = response
         else {
             return;
         };
@@ -78,15 +78,8 @@
         if !self.fetch_missing(ip, keys).await {
             return;
         }
-        let copied = CopiedChanges {
-            incarnation: origin,
-            counter,
-            is_last,
-            epoch,
-            is_complete: is_whole,
-            synced_epoch,
-            evaluated_epoch,
-        };
+        let copied =
+            CopiedChanges { origin, counter, is_last, epoch, is_complete, synced_epoch, evaluated_epoch };
         let own_epoch = self.plan.borrow().epoch;
         self.repair.borrow_mut().note(self.clock.now(), ip, before, copied, own_epoch);
     }
--- a/crates/onyxstile-system/tests/feed_state.rs
+++ b/crates/onyxstile-system/tests/feed_state.rs
@@ -10,7 +10,7 @@
 use onyxstile_system::evidence::Evidence;
 use onyxstile_system::feed_state::{FeedState, FeedUpdate};
 use onyxstile_system::registry::{Instance, Stage};
-use onyxstile_system::wire::{Feed, Published};
+use onyxstile_system::wire::{Feed, PublishedState};
 use support::endpoints::{at, instance};
 
 const HOUR_MS: u64 = 3_600_000;
@@ -40,10 +40,17 @@
 fn a_configuration_is_kept_where_a_newer_state_leaves_it_out() {
     let mut state = FeedState::default();
     let configuration = Rc::new(StoredConfiguration { revision: 3, body: b"{}".to_vec() });
-    let first = Published { sequence: 1, configuration: Some(configuration.clone()), ..Published::default() };
+    let first = PublishedState {
+        sequence: 1,
+        configuration: Some(configuration.clone()),
+        ..PublishedState::default()
+    };
     apply(&mut state, at(0), FeedUpdate::State(first));
-    let feed =
-        apply(&mut state, at(10), FeedUpdate::State(Published { sequence: 2, ..Published::default() }));
+    let feed = apply(
+        &mut state,
+        at(10),
+        FeedUpdate::State(PublishedState { sequence: 2, ..PublishedState::default() }),
+    );
     assert_eq!(feed.state.and_then(|state| state.configuration), Some(configuration));
 }
 
--- a/crates/onyxstile-system/tests/repair.rs
+++ b/crates/onyxstile-system/tests/repair.rs
@@ -22,7 +22,7 @@
 fn copy(progress: &mut Progress, now: u64, from: u8, epoch: u64, is_complete: bool) {
     let before = progress.source(address(from));
     let copied = CopiedChanges {
-        incarnation: 5,
+        origin: 5,
         counter: before.counter + 1,
         is_last: true,
         epoch,
@@ -122,7 +122,7 @@
     copy(&mut progress, 10, 2, 1, true);
     let before = progress.source(address(3));
     let more = CopiedChanges {
-        incarnation: 5,
+        origin: 5,
         counter: 9,
         is_last: false,
         epoch: 1,
@@ -146,7 +146,7 @@
     let added = progress.apply_plan(address(1), &old, &new);
     assert_eq!(added, [address(4)]);
     let late = CopiedChanges {
-        incarnation: 5,
+        origin: 5,
         counter: 9,
         is_last: true,
         epoch: 1,
@@ -165,7 +165,7 @@
     let mut progress = begun(&plan);
     let before = progress.source(address(2));
     let behind = CopiedChanges {
-        incarnation: 5,
+        origin: 5,
         counter: 3,
         is_last: true,
         epoch: 1,
@@ -187,7 +187,7 @@
         let before = progress.source(address(from));
         let counter = before.counter + 1;
         let copied = CopiedChanges {
-            incarnation: 5,
+            origin: 5,
             counter,
             is_last: true,
             epoch: 2,
--- a/crates/onyxstile-system/tests/support/store_world.rs
+++ b/crates/onyxstile-system/tests/support/store_world.rs
@@ -172,7 +172,7 @@
 
     /// What it tells of changes after those that `source` has dealt with.
     pub fn changes(&self, source: Source) -> Changes {
-        let after = if source.incarnation == self.incarnation { source.counter } else { 0 };
+        let after = if source.origin == self.incarnation { source.counter } else { 0 };
         let (keys, _) = self.index.changed_since(after, usize::MAX);
         Changes {
             incarnation: self.incarnation,
@@ -209,7 +209,7 @@
         &mut self, now: u64, from: Ipv4Addr, before: Source, changes: &Changes, evaluated_epoch: u64,
     ) {
         let copied = CopiedChanges {
-            incarnation: changes.incarnation,
+            origin: changes.incarnation,
             counter: changes.counter,
             is_last: true,
             epoch: changes.epoch,
