--- a/crates/onyxstile-lab/src/comeback/sim.rs
+++ b/crates/onyxstile-lab/src/comeback/sim.rs
@@ -10,7 +10,7 @@
 use fleet::View;
 use onyxstile::api::{
     ClassId, ClassSettings, DestinationId, Effect as Class, EndpointId, EndpointInfo, KindId, KindSettings,
-    LateWorth, LimitReport, ListState, Outcome, RateSource, RepeatGroup, Settings, ZoneId,
+    LimitReport, ListState, Outcome, RateSource, RepeatGroup, Settings, UtilityDecay, ZoneId,
 };
 use onyxstile::core::wakes::Wakes;
 use onyxstile::core::{CallEnd, Core, Effect, End, FlowNo, FlowTerms};
@@ -154,11 +154,11 @@
             }
             What::PowerLost => self.relays.iter_mut().filter(|r| !r.kept).for_each(|r| r.up = false),
             What::PowerBack(i) => {
-                let told: Vec<_> = self.relays[i].core.told_limits().collect();
+                let told: Vec<_> = self.relays[i].core.reported_limits().collect();
                 self.relays[i] = self.relay(i, false);
                 if matches!(self.scene.way, Way::Peers | Way::Alone) {
                     // The folder has the limits that were told, as `net::owner::sights` writes them down.
-                    told.into_iter().for_each(|(no, rate)| self.relays[i].core.know_limit(no, rate));
+                    told.into_iter().for_each(|(no, rate)| self.relays[i].core.restore_limit(no, rate));
                 }
                 let life = Life { born: 1, folder: i as u32, start: 2, process: 9, turn: 0 };
                 let terms = Terms {
--- a/crates/onyxstile-lab/src/comeback/sim/begin.rs
+++ b/crates/onyxstile-lab/src/comeback/sim/begin.rs
@@ -58,7 +58,7 @@
         let seed = self.rng.next_u64();
         let mut core =
             Core::new(settings(self.scene.relays), seed, self.now).unwrap_or_else(|e| panic!("{e}"));
-        core.take_entries((0..PARTNERS).map(|p| entry(p, ListState::Live)).collect(), true);
+        core.update_entries((0..PARTNERS).map(|p| entry(p, ListState::Live)).collect(), true);
         let life = Life { born: 1, folder: i as u32, start: 1, process: seed as u16, turn: 0 };
         let relays = self.scene.relays as u16;
         let terms = Terms { fleet: 0, node: NodeNo(i as u16), life, relays, seed };
--- a/crates/onyxstile-lab/src/comeback/sim/fleet.rs
+++ b/crates/onyxstile-lab/src/comeback/sim/fleet.rs
@@ -28,7 +28,7 @@
         }
         r.facts = r
             .core
-            .seen()
+            .health_records()
             .flat_map(|(no, health, heard, told)| {
                 let sight = match health {
                     onyxstile::api::Health::Well => Sight::Well,
@@ -120,8 +120,8 @@
                     for p in 0..PARTNERS {
                         let w = r.evidence.of(p as u32);
                         if !(r.evidence.any_sound && w.sight.is_some_and(|(s, _)| s == Sight::Well)) {
-                            r.core.take_entries(vec![entry(p, ListState::Draining)], false);
-                            r.core.take_entries(vec![entry(p, ListState::Live)], false);
+                            r.core.update_entries(vec![entry(p, ListState::Draining)], false);
+                            r.core.update_entries(vec![entry(p, ListState::Live)], false);
                         }
                         if let Some(rate) = w.limit {
                             let report = LimitReport { left: 0.0, rate: f64::from(rate) / 1e3 };
--- a/crates/onyxstile-lab/src/comeback/sim/terms.rs
+++ b/crates/onyxstile-lab/src/comeback/sim/terms.rs
@@ -4,11 +4,11 @@
 
 pub(super) fn settings(relays: usize) -> Settings {
     let ms = Duration::from_millis;
-    let class = |effect, aim, deadline, worth| ClassSettings {
-        aim,
+    let class = |effect, target_latency, deadline, utility| ClassSettings {
+        target_latency,
         deadline,
-        worth,
-        late_worth: 0.5,
+        utility,
+        late_utility: 0.5,
         effect,
         ordered: false,
     };
@@ -18,10 +18,10 @@
             class(Class::Once, ms(2500), ms(28_000), 2.0),
             class(Class::Keyed { group: RepeatGroup::All, window }, ms(3000), ms(20_000), 1.0),
         ],
-        kinds: vec![KindSettings { per_call: 1, routes_apart: false }],
+        kinds: vec![KindSettings { per_call: 1, independent_routes: false }],
         tenants: Vec::new(),
-        over_share_worth: 0.1,
-        late: LateWorth::Halves,
+        over_quota_weight: 0.1,
+        utility_decay: UtilityDecay::Halving,
         rate_source: RateSource::None,
         senders: relays as u32,
         handshake_cost: 0.06,
@@ -31,7 +31,7 @@
         probes: true,
         cancelling: true,
         ask_for_list: false,
-        must_ask_within: ms(10_000),
+        max_list_age: ms(10_000),
         max_client_wait: ms(2000),
         tick: ms(5),
         connect_timeout: ms(1000),
@@ -40,7 +40,7 @@
         cold_time: ms(14_000),
         overload_factor: FACTOR,
         overload_span: SPAN,
-        key_rest: ms(0),
+        key_cooldown: ms(0),
     }
 }
 
--- a/crates/onyxstile-lab/src/comeback/sim/traffic.rs
+++ b/crates/onyxstile-lab/src/comeback/sim/traffic.rs
@@ -13,7 +13,7 @@
         let r = &mut self.relays[relay];
         let returning = r.ret.is_some() && r.ramp.is_none();
         let share = r.ramp.as_ref().map_or(1.0, |ramp| ramp.share(class, self.now));
-        if !r.up || returning || roll >= share || !r.core.has_room(1) {
+        if !r.up || returning || roll >= share || !r.core.has_capacity(1) {
             let wait = r.ramp.as_ref().map_or(Duration::ZERO, |ramp| ramp.come_back(self.now));
             return self.again(relay, class, to, tries, due, wait);
         }
@@ -27,7 +27,7 @@
             destination: DestinationId(to as u64),
             remaining,
         };
-        r.core.offer(flow, terms, ());
+        r.core.submit(flow, terms, ());
         self.step(relay);
     }
 
@@ -86,7 +86,7 @@
                         let outcome = self.partners[server.0 as usize].call(self.now);
                         self.relays[i].core.probe_ended(server, outcome, None);
                     }
-                    Effect::Ended(flow, (), end) | Effect::TurnedDown(flow, (), end) => {
+                    Effect::Ended(flow, (), end) | Effect::Rejected(flow, (), end) => {
                         self.relays[i].retries.remove(&flow);
                         // Who comes again after this is another message's worth of traffic; it is left out, at all ways.
                         debug_assert!(!matches!(end, End::Over));
--- a/examples/gateway.rs
+++ b/examples/gateway.rs
@@ -9,17 +9,17 @@
     let ms = Duration::from_millis;
     Settings {
         classes: vec![ClassSettings {
-            aim: ms(2000),
+            target_latency: ms(2000),
             deadline: ms(16_000),
-            worth: 1.0,
-            late_worth: 0.3,
+            utility: 1.0,
+            late_utility: 0.3,
             effect: Effect::Once,
             ordered: false,
         }],
-        kinds: vec![KindSettings { per_call: 1, routes_apart: false }],
+        kinds: vec![KindSettings { per_call: 1, independent_routes: false }],
         tenants: vec![],
-        over_share_worth: 1.0,
-        late: LateWorth::Line,
+        over_quota_weight: 1.0,
+        utility_decay: UtilityDecay::Linear,
         rate_source: RateSource::None,
         senders: 1,
         handshake_cost: 0.0,
@@ -29,7 +29,7 @@
         probes: false,
         cancelling: true,
         ask_for_list: false,
-        must_ask_within: Duration::from_secs(10),
+        max_list_age: Duration::from_secs(10),
         max_client_wait: ms(2000),
         tick: ms(5),
         connect_timeout: ms(1000),
@@ -38,7 +38,7 @@
         cold_time: ms(12_000),
         overload_factor: 2.0,
         overload_span: ms(3000),
-        key_rest: ms(0),
+        key_cooldown: ms(0),
     }
 }
 
--- a/src/api.rs
+++ b/src/api.rs
@@ -71,13 +71,16 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassSettings {
     /// Delivered within this time of being handed in, a message earns its full worth.
-    pub aim: Duration,
+    #[serde(rename = "aim")]
+    pub target_latency: Duration,
     /// A message is given up this long after it was first handed in.
     pub deadline: Duration,
     /// Worth of a message on time.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub utility: f64,
     /// Share of the worth left at the deadline.
-    pub late_worth: f64,
+    #[serde(rename = "late_worth")]
+    pub late_utility: f64,
     /// What a repeat does.
     pub effect: Effect,
     /// Messages of this class with the same key take turns.
@@ -90,7 +93,8 @@
     /// Messages that may share one call.
     pub per_call: usize,
     /// True where each endpoint is a route of its own, with its own limit, waits and outages.
-    pub routes_apart: bool,
+    #[serde(rename = "routes_apart")]
+    pub independent_routes: bool,
 }
 
 /// A tenant's quota.
@@ -102,11 +106,13 @@
 
 /// How worth falls once the aim has passed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LateWorth {
+pub enum UtilityDecay {
     /// Evenly, down to the late share at the deadline.
-    Line,
+    #[serde(rename = "Line")]
+    Linear,
     /// By half with each further aim, never under the late share.
-    Halves,
+    #[serde(rename = "Halves")]
+    Halving,
 }
 
 /// What the rate of an endpoint ([`EndpointInfo::rate`]) says.
@@ -128,9 +134,11 @@
     /// Tenants; may be empty.
     pub tenants: Vec<TenantSettings>,
     /// Worth of a message above its tenant's share, as a fraction of its class's worth.
-    pub over_share_worth: f64,
+    #[serde(rename = "over_share_worth")]
+    pub over_quota_weight: f64,
     /// How worth falls after the aim.
-    pub late: LateWorth,
+    #[serde(rename = "late")]
+    pub utility_decay: UtilityDecay,
     /// What endpoint rates say.
     pub rate_source: RateSource,
     /// Senders that share the destinations, this one included.
@@ -151,7 +159,8 @@
     pub ask_for_list: bool,
     /// Where it has to be asked for: one who has no subscription and has not asked for this long counts as told
     /// of all that the list said that long ago.
-    pub must_ask_within: Duration,
+    #[serde(rename = "must_ask_within")]
+    pub max_list_age: Duration,
     /// Longest time that a client stays away when told to.
     pub max_client_wait: Duration,
     /// Shortest time between two batches.
@@ -169,7 +178,8 @@
     /// ...for this long.
     pub overload_span: Duration,
     /// How long a key rests after an attempt that may still be running.
-    pub key_rest: Duration,
+    #[serde(rename = "key_rest")]
+    pub key_cooldown: Duration,
 }
 
 impl Settings {
@@ -178,7 +188,7 @@
     /// # Errors
     /// The first figure found that is missing, zero where it must not be, negative or not finite.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let figure = |v: f64| v.is_finite() && v >= 0.0;
+        let valid = |v: f64| v.is_finite() && v >= 0.0;
         let checks = [
             (!self.classes.is_empty(), "there is no class"),
             (self.max_calls > 0, "there is no slot"),
@@ -187,14 +197,14 @@
             (self.senders > 0, "there is no sender"),
             (!self.tick.is_zero(), "the tick is zero"),
             (self.classes.iter().all(|c| !c.deadline.is_zero()), "a class has no time at all"),
-            (self.classes.iter().all(|c| figure(c.worth)), "a class's worth is no figure"),
-            (self.classes.iter().all(|c| figure(c.late_worth)), "a class's late worth is no figure"),
+            (self.classes.iter().all(|c| valid(c.utility)), "a class's worth is no figure"),
+            (self.classes.iter().all(|c| valid(c.late_utility)), "a class's late worth is no figure"),
             (self.kinds.iter().all(|k| k.per_call > 0), "a call carries no message"),
-            (self.tenants.iter().all(|t| figure(t.quota_per_s)), "a quota is no figure"),
-            (figure(self.start_capacity), "the start capacity is no figure"),
-            (figure(self.overload_factor), "the overload factor is no figure"),
-            (figure(self.over_share_worth), "the worth above a share is no figure"),
-            (figure(self.handshake_cost), "the price of a connection is no figure"),
+            (self.tenants.iter().all(|t| valid(t.quota_per_s)), "a quota is no figure"),
+            (valid(self.start_capacity), "the start capacity is no figure"),
+            (valid(self.overload_factor), "the overload factor is no figure"),
+            (valid(self.over_quota_weight), "the worth above a share is no figure"),
+            (valid(self.handshake_cost), "the price of a connection is no figure"),
         ];
         checks.iter().find(|(good, _)| !good).map_or(Ok(()), |(_, what)| Err(SettingsError(what)))
     }
@@ -446,7 +456,7 @@
     ) -> Proposed;
 
     /// So many calls to the endpoint are out.
-    fn busy(&mut self, endpoint: EndpointId, calls_out: usize);
+    fn set_open_calls(&mut self, endpoint: EndpointId, calls_out: usize);
 }
 
 /// What a proposal came to.
@@ -455,7 +465,7 @@
     /// The destination is not among those that the proposer orders.
     NoOpinion,
     /// None of its endpoints was allowed.
-    Nobody,
+    NoneAllowed,
     /// This one was.
     Endpoint(EndpointId),
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -20,7 +20,7 @@
 use state::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
-use timers::pause;
+use timers::backoff;
 
 /// First retransmission timer (paper: 0.5 s); each further timer is twice as long.
 const T1: Duration = Duration::from_millis(500);
@@ -42,26 +42,26 @@
 const DOWN_AFTER: u32 = 6;
 const HARD_WEIGHT: u32 = 3;
 /// Refusals in a row, and time without a success, before untold refusals count as shut and not as a limit.
-const SHUT_AFTER: u32 = 4;
-const SHUT_QUIET: Duration = Duration::from_millis(2000);
+const OUTAGE_REFUSALS: u32 = 4;
+const OUTAGE_QUIET: Duration = Duration::from_millis(2000);
 /// Weight of an outcome in an endpoint's share of failures: about the last six outcomes.
 const FAIL_WEIGHT: f64 = 0.17;
 /// Share of failures from which an endpoint counts as failing most calls, in the cold rule's sense.
-const MOST_FAIL: f64 = 0.45;
+const HIGH_FAIL_SHARE: f64 = 0.45;
 /// Share of failures under which a message with one try only is sent without fear.
-const SAFE_FAIL: f64 = 0.25;
+const SAFE_FAIL_SHARE: f64 = 0.25;
 /// Share of the cold budget that is used: others may know the destination less well.
 const COLD_SAFETY: f64 = 0.8;
 /// Share of an idle time after which a connection failed that is still trusted; half of T1 always is.
 const STALE_SHARE: f64 = 0.25;
 /// How long idle connections are doubted after an overdue call; if a fresh one answers, for `CROWD_MEMORY`.
-const STALE_DOUBT: Duration = Duration::from_secs(10);
+const STALE_SUSPICION: Duration = Duration::from_secs(10);
 /// Time within which a call breaks whose connection was gone before it.
 const BREAKS_AT_ONCE: Duration = Duration::from_millis(20);
 /// How long a kind of destination that refused a connection counts as short of them.
-const CROWD_MEMORY: Duration = Duration::from_secs(60);
+const SHORTAGE_MEMORY: Duration = Duration::from_secs(60);
 /// Share of its time that a connection is in use from which it is worth its place all the same.
-const CROWD_BUSY: f64 = 0.1;
+const MIN_USE: f64 = 0.1;
 /// Time constants of the recent and the usual rate of successes, seconds.
 const RECENT_TAU: f64 = 2.0;
 const USUAL_TAU: f64 = 10.0;
@@ -71,23 +71,23 @@
 /// Share of its part of a reported limit that a sender uses; the share left over comes on top.
 const PACE_REPORTED: f64 = 0.9;
 /// Share of what others leave of a reported limit that one sender may take, where its part is less.
-const LEFT_SHARE: f64 = 0.1;
+const SPARE_SHARE: f64 = 0.1;
 /// Pace from which a limit no longer matters, calls a second.
-const PACE_FREE: f64 = 1000.0;
+const PACE_MAX: f64 = 1000.0;
 /// Pace after a refusal above a limit, as a share of the sender's part: refused calls may use it up too.
-const PACE_LEAST: f64 = 0.5;
+const PACE_MIN: f64 = 0.5;
 /// Time over which an unused pace adds up, seconds.
 const PACE_BURST: f64 = 0.5;
 /// Share of the room for messages from which the least promising are handed back.
-const ROOM_SHARE: f64 = 0.95;
+const HELD_SHARE: f64 = 0.95;
 /// Share of its aim that a message may wait for others to share its call, where calls can be shared.
-const GATHER_SHARE: f64 = 0.1;
+const BATCH_WAIT_SHARE: f64 = 0.1;
 /// Messages in a shared call that weigh as one call against the cold budget (they cost a little more each).
-const JOINED_PER_CALL: usize = 4;
+const BATCHED_PER_CALL: usize = 4;
 /// Cost of queueing behind calls to the same endpoint, per call squared, in points as the prices.
 const QUEUE_COST: f64 = 0.01;
 /// How often held messages are looked at again.
-const POLL: Duration = Duration::from_millis(50);
+const HELD_POLL: Duration = Duration::from_millis(50);
 
 /// The decisions of one sender. Instances share nothing.
 #[derive(Debug, serde::Serialize, serde::Deserialize)]
@@ -102,9 +102,11 @@
     last_call: u64,
     endpoints: BTreeMap<EndpointId, Endpoint>,
     destinations: BTreeMap<DestinationId, Destination>,
-    lanes: BTreeMap<LaneId, Lane>,
+    #[serde(rename = "lanes")]
+    limiters: BTreeMap<LimiterId, RateLimiter>,
     /// Where messages that may run twice are ready, as this step found it.
-    ready_twice: BTreeSet<DestinationId>,
+    #[serde(rename = "ready_twice")]
+    ready_repeatable: BTreeSet<DestinationId>,
     /// Until when a kind of destination counts as short of connections.
     refused_connection: BTreeMap<KindId, Duration>,
     /// Age up to which idle connections are trusted, and until when older ones are not.
@@ -136,8 +138,8 @@
             last_call: 0,
             endpoints: BTreeMap::new(),
             destinations: BTreeMap::new(),
-            lanes: BTreeMap::new(),
-            ready_twice: BTreeSet::new(),
+            limiters: BTreeMap::new(),
+            ready_repeatable: BTreeSet::new(),
             refused_connection: BTreeMap::new(),
             trusted: settings.keepalive,
             doubt_until: now,
@@ -160,29 +162,29 @@
     pub fn step(&mut self, now: Duration, events: &[Event], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         for event in events {
-            self.take(event, actions);
+            self.handle_event(event, actions);
         }
         if self.ask_at.take_if(|at| *at <= self.now).is_some() {
             actions.push(Action::Subscribe);
         }
         self.expire(actions);
-        self.notice_silence(actions);
+        self.detect_overdue_calls(actions);
         self.fire_timers(actions);
-        self.make_room(actions);
+        self.shed_load(actions);
         self.dispatch(actions);
         if events.iter().any(|e| matches!(e, Event::Outcome(_))) {
             self.release_idle(actions);
         }
-        self.schedule(actions);
+        self.schedule_wake(actions);
     }
 
     /// Asks to be woken when the next timer fires, the next message runs out, or held ones need a look.
-    fn schedule(&mut self, actions: &mut Vec<Action>) {
+    fn schedule_wake(&mut self, actions: &mut Vec<Action>) {
         self.wake_at = self.wake_at.filter(|at| *at > self.now);
         let margin = self.settings.tick * 2;
         let next = self.messages.values().filter_map(|m| match m.state {
-            State::Ready => Some((self.now + POLL).min(m.deadline.saturating_sub(margin))),
-            State::Backoff(at) => Some(at.max(self.now + POLL).min(m.deadline.saturating_sub(margin))),
+            State::Ready => Some((self.now + HELD_POLL).min(m.deadline.saturating_sub(margin))),
+            State::Backoff(at) => Some(at.max(self.now + HELD_POLL).min(m.deadline.saturating_sub(margin))),
             State::InFlight => None,
         });
         let overdue = self.calls.values().map(|c| c.sent + c.late_after).filter(|at| *at > self.now);
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -8,18 +8,19 @@
         let mut ready: Vec<(bool, f64, Duration, MessageId)> = Vec::new();
         // Where calls can be shared, a call waits a little for company; calls are what limits count.
         let mut waiting: BTreeMap<DestinationId, (usize, bool)> = BTreeMap::new();
-        self.ready_twice.clear();
+        self.ready_repeatable.clear();
         for (id, m) in self.messages.iter().filter(|(_, m)| m.state == State::Ready) {
             if self.settings.classes[m.class].effect != Effect::Once {
-                self.ready_twice.insert(m.destination);
+                self.ready_repeatable.insert(m.destination);
             }
-            ready.push((self.now > m.aim_at, -self.present_worth(m), m.aim_at, *id));
+            ready.push((self.now > m.target_at, -self.current_utility(m), m.target_at, *id));
             let (count, long) = waiting.entry(m.destination).or_default();
             *count += 1;
-            *long |= self.now >= m.ready_since + self.settings.classes[m.class].aim.mul_f64(GATHER_SHARE);
+            *long |= self.now
+                >= m.ready_since + self.settings.classes[m.class].target_latency.mul_f64(BATCH_WAIT_SHARE);
         }
         for id in waiting.keys().filter_map(|d| self.destinations.get(d)).flat_map(|d| &d.endpoints) {
-            if let Some(l) = self.endpoints.get(id).and_then(|e| self.lanes.get_mut(&e.lane)) {
+            if let Some(l) = self.endpoints.get(id).and_then(|e| self.limiters.get_mut(&e.limiter_id)) {
                 l.refill(self.now);
             }
         }
@@ -35,14 +36,14 @@
             }
             let (count, long) = waiting.get(&m.destination).copied().unwrap_or_default();
             let share = self.live(m.destination).map(|e| self.per_call(e.info.id)).max().unwrap_or(1);
-            let paced = |e: &Endpoint| self.lanes.get(&e.lane).is_some_and(|l| l.pace < PACE_FREE);
+            let paced = |e: &Endpoint| self.limiters.get(&e.limiter_id).is_some_and(|l| l.pace < PACE_MAX);
             if share > 1 && count < share && !long && self.live(m.destination).any(paced) {
                 continue;
             }
             if self.calls.len() >= self.settings.max_calls || !self.slot_free(m, waiting.len() > 1) {
                 continue;
             }
-            if let Some(endpoint) = self.choose(id, m) {
+            if let Some(endpoint) = self.choose_endpoint(id, m) {
                 let call = self.open_call(endpoint, m.destination, id, actions);
                 self.send(id, endpoint, call, actions);
                 if self.per_call(endpoint) > 1 {
@@ -60,7 +61,7 @@
     /// A message may join a call of this step on all terms of its own; a trial is a single message.
     pub(super) fn may_join(&self, id: MessageId, m: &Message, e: &Endpoint, call: u64) -> bool {
         let sent = self.calls.get(&call).map_or(0, |c| c.messages);
-        let light = e.health == Health::Well || !sent.is_multiple_of(JOINED_PER_CALL);
+        let light = e.health == Health::Well || !sent.is_multiple_of(BATCHED_PER_CALL);
         e.health != Health::Down && light && sent < self.per_call(e.info.id) && self.may_send(id, m, e)
     }
 
@@ -69,28 +70,28 @@
         let half = ((self.settings.max_calls as f64 * SLOT_SHARE) as usize).max(1);
         let its = || self.calls.values().filter(|c| c.destination == m.destination);
         let overdue = its().any(|c| self.now > c.sent + c.late_after);
-        let ill = self.live(m.destination).any(|e| e.health != Health::Well);
-        its().count() < if others_wait || overdue || ill { half } else { self.settings.max_calls }
+        let unhealthy = self.live(m.destination).any(|e| e.health != Health::Well);
+        its().count() < if others_wait || overdue || unhealthy { half } else { self.settings.max_calls }
     }
 
     /// The cheapest endpoint that may take the message: price of the way, and calls already there.
-    pub(super) fn choose(&self, id: MessageId, m: &Message) -> Option<EndpointId> {
+    pub(super) fn choose_endpoint(&self, id: MessageId, m: &Message) -> Option<EndpointId> {
         let s = &self.settings;
         let cost = |e: &Endpoint| {
             let old = e.idle.first().is_some_and(|since| self.now <= *since + self.trusted);
             let fresh = if old { 0.0 } else { s.handshake_cost };
-            let ill = e.fail_share + f64::from(e.hard_run + e.refused_run);
-            e.taste + fresh + ill + QUEUE_COST * (e.calls_out * e.calls_out) as f64
+            let unhealthy = e.fail_share + f64::from(e.hard_run + e.refused_run);
+            e.tie_breaker + fresh + unhealthy + QUEUE_COST * (e.calls_out * e.calls_out) as f64
         };
-        let paid = |l: &Lane| l.tokens >= 1.0 || l.pace >= PACE_FREE;
+        let paid = |l: &RateLimiter| l.tokens >= 1.0 || l.pace >= PACE_MAX;
         let fits = |e: &Endpoint| {
-            self.lanes.get(&e.lane).is_some_and(paid) && self.open(e) && self.may_send(id, m, e)
+            self.limiters.get(&e.limiter_id).is_some_and(paid) && self.usable(e) && self.may_send(id, m, e)
         };
         if let Some(proposer) = self.proposer.borrow_mut().as_mut() {
             let mut allowed = |id: EndpointId| self.endpoints.get(&id).is_some_and(fits);
             match proposer.propose(m.destination, id, &mut allowed) {
                 Proposed::NoOpinion => {}
-                Proposed::Nobody => return None,
+                Proposed::NoneAllowed => return None,
                 Proposed::Endpoint(id) => return Some(id),
             }
         }
@@ -114,23 +115,23 @@
             }
             idle_for = e.idle.pop().map_or(Duration::ZERO, |since| sent - since);
             e.calls_out += 1;
-            self.proposer.get_mut().iter_mut().for_each(|p| p.busy(endpoint, e.calls_out));
-            if let Some(l) = self.lanes.get_mut(&e.lane) {
+            self.proposer.get_mut().iter_mut().for_each(|p| p.set_open_calls(endpoint, e.calls_out));
+            if let Some(l) = self.limiters.get_mut(&e.limiter_id) {
                 l.tokens = (l.tokens - 1.0).max(-1.0);
             }
         }
         let call = Call { destination, endpoint, sent, idle_for, late_after, ..Call::default() };
         self.calls.insert(self.last_call, call);
-        self.note_sent(endpoint);
+        self.record_send(endpoint);
         self.last_call
     }
 
     /// Counts a call or probe against the cold budget, and puts off the next trial.
-    pub(super) fn note_sent(&mut self, endpoint: EndpointId) {
+    pub(super) fn record_send(&mut self, endpoint: EndpointId) {
         let (now, warm) = (self.now, self.settings.cold_time + self.settings.overload_span);
-        let spread = self.random_spread();
+        let jitter = self.random_jitter();
         let Some(e) = self.endpoints.get_mut(&endpoint) else { return };
-        (e.last_sent, e.spread, e.trial) = (now, spread, false);
+        (e.last_sent, e.jitter, e.trial) = (now, jitter, false);
         if matches!(e.health, Health::Warming(since) if now >= since + warm) {
             e.health = Health::Well;
         }
@@ -138,13 +139,13 @@
 
     /// Time after which a call to a destination is overdue: well above what was seen there.
     pub(super) fn late_after(&self, destination: DestinationId, class: usize) -> Duration {
-        let aim = self.settings.classes[class].aim;
+        let target_latency = self.settings.classes[class].target_latency;
         let known = self.destinations.contains_key(&destination);
-        if known { self.usual_end(destination).max(aim / 2) } else { aim }
+        if known { self.latency_bound(destination).max(target_latency / 2) } else { target_latency }
     }
 
     /// Time within which nearly all calls to a destination were answered.
-    pub(super) fn usual_end(&self, destination: DestinationId) -> Duration {
+    pub(super) fn latency_bound(&self, destination: DestinationId) -> Duration {
         let seen = |d: &Destination| Duration::from_secs_f64(d.latency + LATE_DEVIATIONS * d.deviation);
         self.destinations.get(&destination).map_or(Duration::ZERO, seen)
     }
@@ -157,8 +158,8 @@
             m.deadline
         } else {
             // Early enough for another try within the aim.
-            let patience = self.late_after(m.destination, m.class);
-            (self.now + patience * (1 << m.attempts.min(6))).min(m.deadline)
+            let timeout = self.late_after(m.destination, m.class);
+            (self.now + timeout * (1 << m.attempts.min(6))).min(m.deadline)
         };
         actions.push(Action::Send { id, endpoint, give_up_at });
         let (attempt, key, destination) = (m.attempts, m.key, m.destination);
@@ -180,12 +181,12 @@
     /// none would ever be known to be well again.
     pub(super) fn probe_down(&mut self, waiting: &[DestinationId], actions: &mut Vec<Action>) {
         let down = |e: &&Endpoint| e.health == Health::Down && e.refused_run == 0 && !e.trial;
-        let alone = |e: &&Endpoint| self.now > e.last_sent + SHUT_QUIET;
-        let shunned = |e: &&Endpoint| alone(e) && e.health != Health::Down && e.fail_share > SAFE_FAIL;
-        let due = |e: &&Endpoint| (down(e) || shunned(e)) && self.open(e);
+        let alone = |e: &&Endpoint| self.now > e.last_sent + OUTAGE_QUIET;
+        let untested = |e: &&Endpoint| alone(e) && e.health != Health::Down && e.fail_share > SAFE_FAIL_SHARE;
+        let due = |e: &&Endpoint| (down(e) || untested(e)) && self.usable(e);
         let due = waiting.iter().flat_map(|d| self.live(*d).filter(due)).map(|e| e.info.id);
         for id in due.filter(|_| self.settings.probes).collect::<Vec<_>>() {
-            self.note_sent(id);
+            self.record_send(id);
             actions.push(Action::Probe(id));
         }
     }
--- a/src/control/guards.rs
+++ b/src/control/guards.rs
@@ -11,15 +11,15 @@
     }
 
     /// Whether an endpoint takes anything at all now: no wait, and not down but for a trial.
-    pub(super) fn open(&self, e: &Endpoint) -> bool {
-        let waiting = self.lanes.get(&e.lane).is_none_or(|l| l.wait_until > self.now);
-        let shut = match e.health {
-            Health::Down => !e.trial && self.now < e.last_sent + self.cold_gap(e).max(T1),
+    pub(super) fn usable(&self, e: &Endpoint) -> bool {
+        let waiting = self.limiters.get(&e.limiter_id).is_none_or(|l| l.wait_until > self.now);
+        let closed = match e.health {
+            Health::Down => !e.trial && self.now < e.last_sent + self.cold_interval(e).max(T1),
             // Not in step: a shut that told its end is over for all senders at the same moment.
-            Health::Warming(since) => self.now < e.last_sent.max(since) + self.cold_gap(e),
+            Health::Warming(since) => self.now < e.last_sent.max(since) + self.cold_interval(e),
             Health::Well => false,
         };
-        !waiting && !shut
+        !waiting && !closed
     }
 
     /// Whether another attempt can ever be sent. Whoever writes it sees to its window at that moment.
@@ -39,11 +39,11 @@
         let s = &self.settings;
         let class = &s.classes[m.class];
         // The one that a probe lets try: one try only is for when no other waits.
-        let may_try = class.effect != Effect::Once || !self.ready_twice.contains(&m.destination);
+        let may_try = class.effect != Effect::Once || !self.ready_repeatable.contains(&m.destination);
         let listed = e.info.state == ListState::Live && e.info.destination == m.destination;
         // Where probes may ask, no message is spent on an endpoint that does not answer; but where trials are
         // rarer than the span, a message that may go again is itself the trial.
-        let rare = class.effect != Effect::Once && self.cold_gap(e) > s.overload_span;
+        let rare = class.effect != Effect::Once && self.cold_interval(e) > s.overload_span;
         let answers =
             !(s.probes && e.refused_run == 0 && e.health == Health::Down) || rare || e.trial && may_try;
         // A keyed message that may have run stays where its key is known.
@@ -56,19 +56,19 @@
         };
         // One try only: not where calls fail, unless time is nearly up or nothing else can show that they no
         // longer do: held to its last moment, it would be given up without a word.
-        let asked = s.probes || self.now <= e.last_sent + SHUT_QUIET || !may_try;
-        let timid = class.effect == Effect::Once && asked && self.now + class.aim < m.deadline;
-        let feared = timid && !e.trial && (e.fail_share > SAFE_FAIL || e.health == Health::Down);
+        let asked = s.probes || self.now <= e.last_sent + OUTAGE_QUIET || !may_try;
+        let cautious = class.effect == Effect::Once && asked && self.now + class.target_latency < m.deadline;
+        let avoided = cautious && !e.trial && (e.fail_share > SAFE_FAIL_SHARE || e.health == Health::Down);
         let due = m.state == State::Ready && self.now < m.deadline && self.may_retry(m);
-        due && listed && answers && known && !feared && self.turn(id, m)
+        due && listed && answers && known && !avoided && self.is_next_of_key(id, m)
     }
 
     /// Order: the oldest of its key, nothing of the key out, and the rest of the key over.
-    pub(super) fn turn(&self, id: MessageId, m: &Message) -> bool {
+    pub(super) fn is_next_of_key(&self, id: MessageId, m: &Message) -> bool {
         let Some(k) = m.key.and_then(|key| self.keys.get(&key)) else { return true };
         k.queue.front() == Some(&id)
             && self.flights.values().all(|f| f.1 != m.key)
-            && k.rest.is_none_or(|(until, by)| by == id || self.now >= until)
+            && k.cooldown.is_none_or(|(until, by)| by == id || self.now >= until)
     }
 
     /// Whether the client may be told that handing the message in again is harmless.
--- a/src/control/health.rs
+++ b/src/control/health.rs
@@ -4,30 +4,30 @@
 
 impl Controller {
     /// Learns from the end of a call or probe.
-    pub(super) fn judge(
+    pub(super) fn record_outcome(
         &mut self, id: EndpointId, outcome: Outcome, sent: Duration, limit: Option<LimitReport>,
         actions: &mut Vec<Action>,
     ) {
-        let (now, chance) = (self.now, self.random_spread());
+        let (now, chance) = (self.now, self.random_jitter());
         let Some(e) = self.endpoints.get_mut(&id) else { return };
-        let Some(lane) = self.lanes.get_mut(&e.lane) else { return };
-        lane.refill(now);
-        lane.told = limit.map_or(lane.told, |r| r.rate);
-        let part = part_of(e, lane, &self.settings);
+        let Some(limiter) = self.limiters.get_mut(&e.limiter_id) else { return };
+        limiter.refill(now);
+        limiter.reported_limit = limit.map_or(limiter.reported_limit, |r| r.rate);
+        let part = sender_share(e, limiter, &self.settings);
         let (cold, before) = (Health::Warming(now), e.health);
-        lane.own = part * PACE_REPORTED;
+        limiter.own = part * PACE_REPORTED;
         if !matches!(outcome, Outcome::Void | Outcome::Overloaded { .. }) {
             // What was seen long ago says little: where most calls are other senders', one failure is news.
             let others = (1.0 - 2.0 / f64::from(self.settings.senders)).max(0.0);
-            let age = now.saturating_sub(e.last_heard).as_secs_f64();
+            let age = now.saturating_sub(e.last_answer).as_secs_f64();
             let weight = FAIL_WEIGHT.max(others * (1.0 - (-age / USUAL_TAU).exp()));
             e.fail_share += weight * (f64::from(u8::from(outcome != Outcome::Success)) - e.fail_share);
         }
         if !matches!(outcome, Outcome::Void | Outcome::Withdrawn | Outcome::TimedOut) {
-            e.last_heard = now;
+            e.last_answer = now;
         }
         // What all endpoints of the lane, or those down, are from now on: outages mostly take and leave all.
-        let (mut shut, mut all) = (None, None);
+        let (mut own_health, mut shared_health) = (None, None);
         match outcome {
             Outcome::Void | Outcome::Withdrawn => return,
             Outcome::Success => {
@@ -35,44 +35,44 @@
                 let back = Health::Warming(e.last_failed + (now - e.last_failed) / 2);
                 let (failed, suspected) = (e.hard_run > 0, e.hard_run == 0 && e.refused_run == 0);
                 (e.last_ok, e.hard_run, e.refused_run) = (now, 0, 0);
-                lane.recent.add(now, RECENT_TAU);
+                limiter.recent.add(now, RECENT_TAU);
                 if let Some(report) = limit.filter(|r| r.rate > 0.0) {
                     // The limit is told: pace to this sender's part, and up while others leave room.
                     let room = report.left.clamp(0.0, 1.0);
-                    let most = lane.own + part.max(report.rate * LEFT_SHARE) * room;
-                    let paced = if lane.pace < PACE_FREE { lane.pace } else { lane.own };
-                    lane.pace = (paced + paced).min(most).max(lane.own + part * room);
+                    let most = limiter.own + part.max(report.rate * SPARE_SHARE) * room;
+                    let paced = if limiter.pace < PACE_MAX { limiter.pace } else { limiter.own };
+                    limiter.pace = (paced + paced).min(most).max(limiter.own + part * room);
                 }
                 match e.health {
                     Health::Well => e.usual.add(now, USUAL_TAU),
                     Health::Down if suspected => e.health = Health::Well,
                     // What failed before it was back says nothing of what comes now, within the cold budget.
                     Health::Down if sent >= e.down_since => {
-                        (e.health, e.fail_share) = (back, e.fail_share.min(SAFE_FAIL));
-                        all = Some((back, true));
+                        (e.health, e.fail_share) = (back, e.fail_share.min(SAFE_FAIL_SHARE));
+                        shared_health = Some((back, true));
                     }
-                    Health::Warming(_) if failed && e.fail_share > SAFE_FAIL => e.health = back,
+                    Health::Warming(_) if failed && e.fail_share > SAFE_FAIL_SHARE => e.health = back,
                     _ => {}
                 }
             }
             Outcome::Overloaded { wait } => {
                 (e.refused_run, e.last_failed) = (e.refused_run + 1, now);
                 let until = now + wait.unwrap_or_default();
-                lane.wait_until = lane.wait_until.max(until);
-                let quiet = now.saturating_sub(lane.recent.at) >= SHUT_QUIET;
+                limiter.wait_until = limiter.wait_until.max(until);
+                let quiet = now.saturating_sub(limiter.recent.at) >= OUTAGE_QUIET;
                 let long = wait.is_some_and(|w| w >= self.settings.overload_span);
-                let shuts = e.refused_run >= SHUT_AFTER || e.health != Health::Well;
+                let shuts = e.refused_run >= OUTAGE_REFUSALS || e.health != Health::Well;
                 if long || (wait.is_some() && quiet && shuts) {
                     // Shut until the wait ends, and cold from then on, by whichever endpoint it is tried.
-                    shut = Some(Health::Warming(until));
-                    all = long.then_some((Health::Warming(until), false));
-                } else if quiet && e.refused_run >= SHUT_AFTER && e.health != Health::Down {
-                    shut = Some(Health::Down);
+                    own_health = Some(Health::Warming(until));
+                    shared_health = long.then_some((Health::Warming(until), false));
+                } else if quiet && e.refused_run >= OUTAGE_REFUSALS && e.health != Health::Down {
+                    own_health = Some(Health::Down);
                 } else if e.health == Health::Well {
-                    let kept = PACE_CUT * lane.recent.get(now, RECENT_TAU);
-                    lane.pace = lane.pace.min(kept.max(part * PACE_LEAST));
-                    lane.own *= COLD_SAFETY;
-                    lane.tokens = lane.tokens.min(1.0 - chance);
+                    let kept = PACE_CUT * limiter.recent.get(now, RECENT_TAU);
+                    limiter.pace = limiter.pace.min(kept.max(part * PACE_MIN));
+                    limiter.own *= COLD_SAFETY;
+                    limiter.tokens = limiter.tokens.min(1.0 - chance);
                 }
             }
             // Too slow for this one call, while others were answered: no sign of an outage.
@@ -84,40 +84,42 @@
                     Health::Down => {}
                     _ if e.hard_run >= DOWN_AFTER => e.health = Health::Down,
                     // Some calls get through: go on within the budget of a cold destination.
-                    Health::Well if e.fail_share >= MOST_FAIL => e.health = cold,
+                    Health::Well if e.fail_share >= HIGH_FAIL_SHARE => e.health = cold,
                     _ => {}
                 }
             }
         }
-        e.health = shut.unwrap_or(e.health);
+        e.health = own_health.unwrap_or(e.health);
         if e.health != before {
             e.down_since = now;
             if std::mem::discriminant(&e.health) != std::mem::discriminant(&before) {
                 actions.push(Action::Note(Note::Health(id, before, e.health, Some(outcome))));
             }
         }
-        let which = e.lane;
-        if let Some((health, down)) = all {
-            let its = |o: &&mut Endpoint| o.lane == which && (!down || o.health == Health::Down);
+        let which = e.limiter_id;
+        if let Some((health, down)) = shared_health {
+            let its = |o: &&mut Endpoint| o.limiter_id == which && (!down || o.health == Health::Down);
             for other in self.endpoints.values_mut().filter(its) {
-                (other.health, other.fail_share) = (health, other.fail_share.min(SAFE_FAIL));
+                (other.health, other.fail_share) = (health, other.fail_share.min(SAFE_FAIL_SHARE));
             }
         }
     }
 
     /// The pause between single calls to an endpoint that is down or cold: by this sender's even part of what
     /// the rule on returning destinations allows all of them, and a random part: they are not in step.
-    pub(super) fn cold_gap(&self, e: &Endpoint) -> Duration {
+    pub(super) fn cold_interval(&self, e: &Endpoint) -> Duration {
         let s = &self.settings;
         let since = if let (Health::Warming(since), 0) = (e.health, e.hard_run) { since } else { self.now };
         let age = self.now.saturating_sub(since).as_secs_f64();
         let warm = (age / s.cold_time.as_secs_f64().max(0.001)).min(1.0);
         let capacity = s.start_capacity + (1.0 - s.start_capacity).max(0.0) * warm;
-        let part = self.lanes.get(&e.lane).map_or(0.0, |l| part_of(e, l, s));
-        let well = |o: &&Endpoint| o.lane == e.lane && o.info.id != e.info.id && o.health != Health::Down;
+        let part = self.limiters.get(&e.limiter_id).map_or(0.0, |l| sender_share(e, l, s));
+        let well = |o: &&Endpoint| {
+            o.limiter_id == e.limiter_id && o.info.id != e.info.id && o.health != Health::Down
+        };
         let among = 1 + self.live(e.info.destination).filter(well).count();
         let rate = (COLD_SAFETY * s.overload_factor * capacity * part / among as f64).max(0.001);
-        Duration::from_secs_f64(e.spread / rate)
+        Duration::from_secs_f64(e.jitter / rate)
     }
 
     /// Closes connections that are idle most of their time, where those are short, once no message took them.
@@ -125,7 +127,7 @@
         for (id, e) in self.endpoints.iter_mut().filter(|(_, e)| e.calls_out == 0 && !e.idle.is_empty()) {
             let latency = self.destinations.get(&e.info.destination).map_or(0.0, |d| d.latency);
             let busy = e.usual.get(self.now, USUAL_TAU) * latency;
-            if busy < CROWD_BUSY && self.refused_connection.get(&e.info.kind).is_some_and(|u| *u > self.now) {
+            if busy < MIN_USE && self.refused_connection.get(&e.info.kind).is_some_and(|u| *u > self.now) {
                 e.idle.clear();
                 actions.push(Action::Release(*id));
             }
@@ -135,37 +137,37 @@
     /// An overdue call to an endpoint that has said nothing since: hold all but trials there, long before
     /// the time-out. Any answer lifts it without a cold ramp. On a connection that was idle it tells first of
     /// that: from then on younger or fresh ones are used, and an outage shows on the next call.
-    pub(super) fn notice_silence(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn detect_overdue_calls(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         self.trusted = if now < self.doubt_until { self.trusted } else { self.settings.keepalive };
         for c in self.calls.values().filter(|c| now > c.sent + c.late_after) {
-            let silent = |e: &&mut Endpoint| e.last_heard <= c.sent;
+            let silent = |e: &&mut Endpoint| e.last_answer <= c.sent;
             let Some(e) = self.endpoints.get_mut(&c.endpoint).filter(silent) else { continue };
             if c.idle_for <= T1 / 2 && e.health == Health::Well {
                 (e.health, e.down_since) = (Health::Down, now);
                 actions.push(Action::Note(Note::Health(c.endpoint, Health::Well, e.health, None)));
             } else if c.idle_for > T1 / 2 && c.idle_for <= self.trusted {
                 self.trusted = c.idle_for.mul_f64(STALE_SHARE).max(T1 / 2);
-                self.doubt_until = self.doubt_until.max(now + STALE_DOUBT);
+                self.doubt_until = self.doubt_until.max(now + STALE_SUSPICION);
             }
         }
         // Out of slots, those longest silent make way; those on connections rightly doubted do so at once.
         let full = self.calls.len() >= self.settings.max_calls;
-        let able = |e: &Endpoint| e.health == Health::Well && self.open(e);
+        let able = |e: &Endpoint| e.health == Health::Well && self.usable(e);
         let wanted = |m: &Message| m.state == State::Ready && self.live(m.destination).any(able);
         let needed = full && self.messages.values().any(wanted);
-        let sure = self.doubt_until > now + STALE_DOUBT;
+        let sure = self.doubt_until > now + STALE_SUSPICION;
         let lost = |c: &Call| sure && c.idle_for > self.trusted && now > c.sent + c.late_after;
         // Where answers get lost, slots fill with calls that never end: what is far over the usual gives way.
-        let patience = |c: &Call| self.usual_end(c.destination).max(T1 / 2);
-        let silent = |c: &Call| !c.cancelled && (lost(c) || needed && now > c.sent + patience(c));
+        let timeout = |c: &Call| self.latency_bound(c.destination).max(T1 / 2);
+        let silent = |c: &Call| !c.cancelled && (lost(c) || needed && now > c.sent + timeout(c));
         let found = self.calls.iter().find(|(_, c)| self.settings.cancelling && silent(c)).map(|(n, _)| *n);
         let Some((number, call)) = found.and_then(|n| Some((n, self.calls.get_mut(&n)?))) else { return };
         call.cancelled = true;
         // Called off so early, it must not hide an endpoint that answers nobody.
         let (sent, young) = (call.sent, call.idle_for <= T1 / 2);
-        let mute = |e: &&mut Endpoint| young && e.last_heard <= sent && e.health == Health::Well;
-        if let Some(e) = self.endpoints.get_mut(&call.endpoint).filter(mute) {
+        let unanswered = |e: &&mut Endpoint| young && e.last_answer <= sent && e.health == Health::Well;
+        if let Some(e) = self.endpoints.get_mut(&call.endpoint).filter(unanswered) {
             (e.health, e.down_since) = (Health::Down, now);
             actions.push(Action::Note(Note::Health(call.endpoint, Health::Well, e.health, None)));
         }
@@ -175,9 +177,9 @@
 }
 
 /// A sender's part of a lane's rate (unknown: of a call in T1), shared by no more than it gets in a life.
-pub(super) fn part_of(e: &Endpoint, lane: &Lane, s: &Settings) -> f64 {
-    let rate = if s.rate_source == RateSource::Nominal { e.info.rate } else { lane.told };
+pub(super) fn sender_share(e: &Endpoint, limiter: &RateLimiter, s: &Settings) -> f64 {
+    let rate = if s.rate_source == RateSource::Nominal { e.info.rate } else { limiter.reported_limit };
     let rate = if rate > 0.0 { rate } else { 1.0 / T1.as_secs_f64() };
-    let life = s.classes.iter().map(|c| c.deadline).max().unwrap_or(T1).as_secs_f64();
-    rate / (rate * life).max(1.0).min(f64::from(s.senders))
+    let longest = s.classes.iter().map(|c| c.deadline).max().unwrap_or(T1).as_secs_f64();
+    rate / (rate * longest).max(1.0).min(f64::from(s.senders))
 }
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -29,10 +29,12 @@
 #[derive(Debug, Default, serde::Serialize, serde::Deserialize)]
 pub(super) struct Message {
     pub(super) class: usize,
-    pub(super) worth: f64,
+    #[serde(rename = "worth")]
+    pub(super) utility: f64,
     pub(super) key: Option<OrderKey>,
     pub(super) destination: DestinationId,
-    pub(super) aim_at: Duration,
+    #[serde(rename = "aim_at")]
+    pub(super) target_at: Duration,
     pub(super) deadline: Duration,
     pub(super) attempts: u32,
     pub(super) firings: u32,
@@ -59,21 +61,25 @@
 #[derive(Debug, Default, serde::Serialize, serde::Deserialize)]
 pub(super) struct Endpoint {
     pub(super) info: EndpointInfo,
-    pub(super) lane: LaneId,
+    #[serde(rename = "lane")]
+    pub(super) limiter_id: LimiterId,
     pub(super) health: Health,
     pub(super) down_since: Duration,
     pub(super) hard_run: u32,
     pub(super) refused_run: u32,
     pub(super) fail_share: f64,
     pub(super) last_ok: Duration,
-    pub(super) last_heard: Duration,
+    #[serde(rename = "last_heard")]
+    pub(super) last_answer: Duration,
     pub(super) last_failed: Duration,
     pub(super) usual: Rate,
     /// Which of several that cost the same this sender prefers: all would choose the first one listed.
-    pub(super) taste: f64,
+    #[serde(rename = "taste")]
+    pub(super) tie_breaker: f64,
     /// The last call or probe, and the random part of the pause after it.
     pub(super) last_sent: Duration,
-    pub(super) spread: f64,
+    #[serde(rename = "spread")]
+    pub(super) jitter: f64,
     pub(super) calls_out: usize,
     /// A probe was answered while it was down, and no message has tried since.
     pub(super) trial: bool,
@@ -84,30 +90,31 @@
 }
 
 /// What limits and waits bind: a destination, or one endpoint where routes are apart.
-pub(super) type LaneId = (DestinationId, Option<EndpointId>);
+pub(super) type LimiterId = (DestinationId, Option<EndpointId>);
 
 #[derive(Debug, Default, serde::Serialize, serde::Deserialize)]
-pub(super) struct Lane {
+pub(super) struct RateLimiter {
     pub(super) wait_until: Duration,
     pub(super) pace: f64,
     pub(super) tokens: f64,
     pub(super) tokens_at: Duration,
     pub(super) recent: Rate,
     /// The limit as its answers told it, calls a second, and what of it is this sender's.
-    pub(super) told: f64,
+    #[serde(rename = "told")]
+    pub(super) reported_limit: f64,
     pub(super) own: f64,
 }
 
-impl Lane {
+impl RateLimiter {
     /// Brings tokens and pace up to `now`. Called only where a lane is looked at: a step must not cost more
     /// the more destinations there are.
     pub(super) fn refill(&mut self, now: Duration) {
         let passed = (now - std::mem::replace(&mut self.tokens_at, now)).as_secs_f64();
         // Guards limits that many senders share: each would go on taking what one old answer told was left.
-        self.pace = if self.told > 0.0 {
+        self.pace = if self.reported_limit > 0.0 {
             self.own + (self.pace - self.own) * (-passed / T1.as_secs_f64()).exp()
         } else {
-            (self.pace * (PACE_GROWTH * passed).exp()).min(PACE_FREE)
+            (self.pace * (PACE_GROWTH * passed).exp()).min(PACE_MAX)
         };
         self.tokens = (self.tokens + self.pace * passed).min((self.pace * PACE_BURST).max(2.0));
     }
@@ -125,5 +132,6 @@
 #[derive(Debug, Default, serde::Serialize, serde::Deserialize)]
 pub(super) struct KeyQueue {
     pub(super) queue: VecDeque<MessageId>,
-    pub(super) rest: Option<(Duration, MessageId)>,
+    #[serde(rename = "rest")]
+    pub(super) cooldown: Option<(Duration, MessageId)>,
 }
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -2,7 +2,7 @@
 //! ten times the size.
 
 use super::*;
-use crate::common::{line, ms};
+use crate::common::{entry, ms};
 
 fn settings(held: usize, calls: usize) -> Settings {
     let mut s = Settings {
@@ -10,7 +10,7 @@
         max_held: held,
         max_attempts: 12,
         probes: true,
-        key_rest: ms(300),
+        key_cooldown: ms(300),
         handshake_cost: 0.0,
         ..crate::common::settings()
     };
@@ -19,7 +19,7 @@
 }
 
 fn listed(destinations: u64) -> Event {
-    let info = |d: u64| line(d as u32, DestinationId(d), 0, ListState::Live);
+    let info = |d: u64| entry(d as u32, DestinationId(d), 0, ListState::Live);
     Event::ListReplaced((0..destinations).map(info).collect())
 }
 
@@ -61,8 +61,8 @@
 fn counts_equal_a_recount_whatever_happens() {
     let (mut steps, mut most) = (0, 0);
     for seed in 0..150 {
-        let mut dice = Pcg32::seed_from_u64(seed);
-        let mut below = |n: u64| dice.next_u64() % n.max(1);
+        let mut rng = Pcg32::seed_from_u64(seed);
+        let mut below = |n: u64| rng.next_u64() % n.max(1);
         let mut c = Controller::new(settings(30, 6), seed, ms(1000)).unwrap();
         let (mut now, mut next, mut actions) = (ms(1000), 0, Vec::new());
         let mut out: Vec<(MessageId, u32, EndpointId)> = Vec::new();
@@ -180,7 +180,7 @@
                 ended(*id, *attempt, EndpointId((id.0 % destinations) as u32), Outcome::Failure)
             })
             .collect();
-        its.iter().for_each(|e| c.take(e, &mut actions));
+        its.iter().for_each(|e| c.handle_event(e, &mut actions));
         best.2 = best.2.min(us(began, its.len() as u64));
         c.now = ms(1500);
         for e in c.endpoints.values_mut() {
@@ -198,7 +198,7 @@
 
 /// Where a message stands when it is called off or its time is up.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Stage {
+enum Phase {
     Queued,
     OnTimer,
     InFlight,
@@ -220,7 +220,7 @@
 fn a_message_that_is_called_off_or_out_of_time_leaves_nothing_behind() {
     let id = MessageId(1);
     let sent = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Send { .. })).count();
-    for stage in [Stage::Queued, Stage::OnTimer, Stage::InFlight] {
+    for phase in [Phase::Queued, Phase::OnTimer, Phase::InFlight] {
         for called_off in [true, false] {
             let mut c = Controller::new(settings(9, 1), 1, ms(1000)).unwrap();
             let mut actions = Vec::new();
@@ -229,18 +229,18 @@
                 c.step(ms(now), events, &mut actions);
                 actions.clone()
             };
-            let first = if stage == Stage::Queued { vec![] } else { vec![listed(1)] };
+            let first = if phase == Phase::Queued { vec![] } else { vec![listed(1)] };
             step(&mut c, 1000, &first);
             let done = step(&mut c, 1000, &[message(1, 1, 0, Some(9), 0)]);
-            assert_eq!(sent(&done), usize::from(stage != Stage::Queued));
-            if stage == Stage::OnTimer {
+            assert_eq!(sent(&done), usize::from(phase != Phase::Queued));
+            if phase == Phase::OnTimer {
                 step(&mut c, 1080, &[ended(id, 0, EndpointId(0), Outcome::Unreachable)]);
             }
             let before = left(&c, &[], id);
-            let pending = usize::from(stage != Stage::Queued);
-            assert_eq!(before, (pending, usize::from(stage == Stage::InFlight), true, 0), "{stage:?}");
+            let pending = usize::from(phase != Phase::Queued);
+            assert_eq!(before, (pending, usize::from(phase == Phase::InFlight), true, 0), "{phase:?}");
             // The end: at once, or in the step in which its time is up; what is out at its deadline times out then.
-            let out = stage == Stage::InFlight;
+            let out = phase == Phase::InFlight;
             let done = match (called_off, out) {
                 (true, _) => step(&mut c, 1200, &[Event::Withdrawn(id)]),
                 (false, true) => step(&mut c, 17_000, &[ended(id, 0, EndpointId(0), Outcome::TimedOut)]),
@@ -248,20 +248,20 @@
             };
             let held = called_off && out;
             let answers = usize::from(!called_off);
-            assert_eq!(left(&c, &done, id), (0, usize::from(held), held, answers), "{stage:?} {called_off}");
+            assert_eq!(left(&c, &done, id), (0, usize::from(held), held, answers), "{phase:?} {called_off}");
             // Its slot: the next message goes if it is free.
             let next = step(&mut c, 17_500, &[listed(2), message(2, 0, 1, None, 0)]);
-            assert_eq!(sent(&next), usize::from(!held), "{stage:?} {called_off}");
+            assert_eq!(sent(&next), usize::from(!held), "{phase:?} {called_off}");
             // The late outcome frees slot and key, and answers nothing.
             let late = step(&mut c, 17_600, &[ended(id, 0, EndpointId(0), Outcome::Broken)]);
             assert_eq!(left(&c, &late, id).3, 0);
             assert!(!c.flights.values().any(|f| f.1 == Some(OrderKey(9))));
-            assert_eq!(sent(&late), usize::from(held), "the slot is free: {stage:?} {called_off}");
+            assert_eq!(sent(&late), usize::from(held), "the slot is free: {phase:?} {called_off}");
             for now in (17_700..40_000).step_by(50) {
                 let again = step(&mut c, now, &[Event::Wake(0)]);
                 assert!(
                     !again.iter().any(|a| matches!(a, Action::Send { id: MessageId(1), .. })),
-                    "{stage:?}"
+                    "{phase:?}"
                 );
             }
         }
--- a/src/control/timers.rs
+++ b/src/control/timers.rs
@@ -4,7 +4,7 @@
 
 impl Controller {
     /// Chance that a message is sent again when its timer fires, with so many pending there.
-    pub(super) fn resend_chance(&self, destination: DestinationId, pending: f64) -> f64 {
+    pub(super) fn resend_probability(&self, destination: DestinationId, pending: f64) -> f64 {
         let Some(d) = self.destinations.get(&destination) else { return 1.0 };
         let rate = d.first_sends.get(self.now, self.settings.tick.as_secs_f64() / RATE_WEIGHT);
         let q_min = (rate * T1.as_secs_f64()).max(rate * d.latency).max(Q_MIN_FLOOR);
@@ -15,7 +15,7 @@
     /// Fires the timers that are due; one waits while nothing may go to its destination at all.
     pub(super) fn fire_timers(&mut self, actions: &mut Vec<Action>) {
         let due = |m: &Message| matches!(m.state, State::Backoff(at) if at <= self.now);
-        let open = |m: &Message| self.live(m.destination).any(|e| self.open(e));
+        let open = |m: &Message| self.live(m.destination).any(|e| self.usable(e));
         let due = self.messages.iter().filter(|(_, m)| due(m) && open(m));
         let due = due.map(|(id, m)| (*id, m.destination)).collect::<Vec<_>>();
         if due.is_empty() {
@@ -27,11 +27,12 @@
             *pending.entry(m.destination).or_default() += 1.0;
         }
         for (id, destination) in due {
-            let chance = self.resend_chance(destination, pending.get(&destination).copied().unwrap_or(0.0));
+            let chance =
+                self.resend_probability(destination, pending.get(&destination).copied().unwrap_or(0.0));
             let roll = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
             if let Some(m) = self.messages.get_mut(&id) {
                 (m.firings, m.ready_since) = (m.firings + 1, self.now);
-                let next = self.now + pause(m.firings, self.settings.classes[m.class].aim);
+                let next = self.now + backoff(m.firings, self.settings.classes[m.class].target_latency);
                 // Found untried by a restart, it is no resend: the law puts it off, and not beyond its time.
                 let last = m.attempts == 0 && m.deadline <= next + (next - self.now);
                 m.state = if last || roll < chance { State::Ready } else { State::Backoff(next) };
@@ -50,37 +51,38 @@
         let over = self.messages.iter().filter(|(_, m)| over(m)).map(|(id, m)| (*id, again(m)));
         for (id, again) in over.collect::<Vec<_>>() {
             actions.push(if again { Action::Refuse { id, wait } } else { Action::Fail(id) });
-            self.forget(id);
+            self.remove_message(id);
         }
     }
 
     /// Hands back the least promising messages when room runs short; what a restart found untried goes last.
-    pub(super) fn make_room(&mut self, actions: &mut Vec<Action>) {
-        let room = (self.settings.max_held as f64 * ROOM_SHARE) as usize;
+    pub(super) fn shed_load(&mut self, actions: &mut Vec<Action>) {
+        let room = (self.settings.max_held as f64 * HELD_SHARE) as usize;
         while self.messages.len() > room {
             let untried = |m: &Message| m.attempts == 0 && (m.firings > 0 || m.state != State::Ready);
-            let worth = |(_, m): &(_, &Message)| if untried(m) { f64::MAX } else { self.present_worth(m) };
+            let utility =
+                |(_, m): &(_, &Message)| if untried(m) { f64::MAX } else { self.current_utility(m) };
             let all = self.messages.iter().filter(|(_, m)| self.may_refuse(m));
-            let Some(&id) = all.min_by(|a, b| worth(a).total_cmp(&worth(b))).map(|m| m.0) else { return };
+            let Some(&id) = all.min_by(|a, b| utility(a).total_cmp(&utility(b))).map(|m| m.0) else { return };
             actions.push(Action::Refuse { id, wait: self.settings.max_client_wait });
-            self.forget(id);
+            self.remove_message(id);
         }
     }
 
     /// What a delivery now would earn.
-    pub(super) fn present_worth(&self, m: &Message) -> f64 {
+    pub(super) fn current_utility(&self, m: &Message) -> f64 {
         let c = &self.settings.classes[m.class];
-        let late = self.now.saturating_sub(m.aim_at).as_secs_f64();
-        let whole = c.deadline.saturating_sub(c.aim).as_secs_f64().max(0.001);
-        let left = match self.settings.late {
-            LateWorth::Line => 1.0 - (1.0 - c.late_worth) * (late / whole).min(1.0),
-            LateWorth::Halves => 0.5f64.powf((late / c.aim.as_secs_f64().max(0.001)).ceil()),
+        let late = self.now.saturating_sub(m.target_at).as_secs_f64();
+        let whole = c.deadline.saturating_sub(c.target_latency).as_secs_f64().max(0.001);
+        let left = match self.settings.utility_decay {
+            UtilityDecay::Linear => 1.0 - (1.0 - c.late_utility) * (late / whole).min(1.0),
+            UtilityDecay::Halving => 0.5f64.powf((late / c.target_latency.as_secs_f64().max(0.001)).ceil()),
         };
-        m.worth * left.max(c.late_worth)
+        m.utility * left.max(c.late_utility)
     }
 }
 
 /// The time until the next timer fires: doubling from T1 up to the aim, and never under T1.
-pub(super) fn pause(firings: u32, aim: Duration) -> Duration {
-    (T1 * (1 << firings.min(10))).min(aim.max(T1))
+pub(super) fn backoff(firings: u32, target_latency: Duration) -> Duration {
+    (T1 * (1 << firings.min(10))).min(target_latency.max(T1))
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -7,8 +7,8 @@
 
 mod step;
 mod terms;
-pub mod vigil;
 pub mod wakes;
+pub mod watchdog;
 
 use crate::Controller;
 use crate::api::{AttemptEnd, DestinationId, Event, LimitReport, ListState, NewMessage, Past, Proposer};
@@ -31,7 +31,7 @@
 
 /// A flow, but for its payload.
 #[derive(Debug, Serialize, Deserialize)]
-struct Bare {
+struct FlowState {
     destination: DestinationId,
     attempts: u32,
     out: Option<u32>,
@@ -39,31 +39,33 @@
 
 /// What another process needs to go on with a core: the payloads, which outlive a process anyway, are not in it.
 #[derive(Debug, Serialize)]
-pub struct Written<'a> {
-    module: &'a Controller,
-    flows: BTreeMap<FlowNo, Bare>,
+pub struct CoreSnapshot<'a> {
+    #[serde(rename = "module")]
+    controller: &'a Controller,
+    flows: BTreeMap<FlowNo, FlowState>,
 }
 
 /// The same, as it was read.
 #[derive(Debug, Deserialize)]
-pub struct Read {
-    module: Controller,
-    flows: BTreeMap<FlowNo, Bare>,
+pub struct RestoredCore {
+    #[serde(rename = "module")]
+    controller: Controller,
+    flows: BTreeMap<FlowNo, FlowState>,
 }
 
 /// The open flows, and the module that decides about them.
 #[derive(Debug)]
 pub struct Core<P> {
-    module: Controller,
+    controller: Controller,
     flows: BTreeMap<FlowNo, Flow<P>>,
-    most_held: usize,
+    max_held: usize,
     events: Vec<Event>,
     /// Flows handed in since the last step by someone who waits for the answer.
-    fresh: Vec<FlowNo>,
+    submitted: Vec<FlowNo>,
     /// Flows that an event since the last step has ended.
     ended: Vec<(FlowNo, End)>,
     /// Destinations that told a wait since the last step.
-    told: BTreeSet<DestinationId>,
+    new_waits: BTreeSet<DestinationId>,
     /// No new call may go out any more.
     closing: bool,
 }
@@ -75,36 +77,45 @@
     /// Settings that cannot work.
     pub fn new(settings: Settings, seed: u64, now: Duration) -> Result<Self, SettingsError> {
         Ok(Core {
-            most_held: settings.max_held,
-            module: Controller::new(settings, seed, now)?,
+            max_held: settings.max_held,
+            controller: Controller::new(settings, seed, now)?,
             flows: BTreeMap::new(),
             events: Vec::new(),
-            fresh: Vec::new(),
+            submitted: Vec::new(),
             ended: Vec::new(),
-            told: BTreeSet::new(),
+            new_waits: BTreeSet::new(),
             closing: false,
         })
     }
 
     /// What another process needs to go on; none while something has come in that was not decided on, or where no
     /// call may go out any more, of which the module knows nothing.
-    pub fn written(&self) -> Option<Written<'_>> {
-        let settled = self.events.is_empty() && self.fresh.is_empty() && self.ended.is_empty();
-        let bare = |f: &Flow<P>| Bare { destination: f.destination, attempts: f.attempts, out: f.out };
-        let flows = || self.flows.iter().map(|(no, f)| (*no, bare(f))).collect();
-        (settled && !self.closing).then(|| Written { module: &self.module, flows: flows() })
+    pub fn snapshot(&self) -> Option<CoreSnapshot<'_>> {
+        let settled = self.events.is_empty() && self.submitted.is_empty() && self.ended.is_empty();
+        let state = |f: &Flow<P>| FlowState { destination: f.destination, attempts: f.attempts, out: f.out };
+        let flows = || self.flows.iter().map(|(no, f)| (*no, state(f))).collect();
+        (settled && !self.closing).then(|| CoreSnapshot { controller: &self.controller, flows: flows() })
     }
 
     /// The core that another process had, with the payloads of its flows. None if a flow has none.
-    pub fn from_read(
-        read: Read, most_held: usize, mut payload: impl FnMut(FlowNo) -> Option<P>,
+    pub fn restore(
+        saved: RestoredCore, max_held: usize, mut payload: impl FnMut(FlowNo) -> Option<P>,
     ) -> Option<Self> {
-        let with = |(no, Bare { destination, attempts, out })| {
+        let with = |(no, FlowState { destination, attempts, out })| {
             Some((no, Flow { payload: payload(no)?, destination, attempts, out }))
         };
-        let flows = read.flows.into_iter().map(with).collect::<Option<_>>()?;
-        let (events, fresh, ended, told) = (Vec::new(), Vec::new(), Vec::new(), BTreeSet::new());
-        Some(Core { module: read.module, flows, most_held, events, fresh, ended, told, closing: false })
+        let flows = saved.flows.into_iter().map(with).collect::<Option<_>>()?;
+        let (events, submitted, ended, new_waits) = (Vec::new(), Vec::new(), Vec::new(), BTreeSet::new());
+        Some(Core {
+            controller: saved.controller,
+            flows,
+            max_held,
+            events,
+            submitted,
+            ended,
+            new_waits,
+            closing: false,
+        })
     }
 
     /// The flows that are open.
@@ -114,12 +125,12 @@
 
     /// From now on the module asks the proposer first (see [`Proposer`]).
     pub fn set_proposer(&mut self, proposer: Box<dyn Proposer>) {
-        self.module.set_proposer(proposer);
+        self.controller.set_proposer(proposer);
     }
 
     /// Whether so many more flows may be held.
-    pub fn has_room(&self, flows: usize) -> bool {
-        self.flows.len() + flows <= self.most_held
+    pub fn has_capacity(&self, flows: usize) -> bool {
+        self.flows.len() + flows <= self.max_held
     }
 
     /// How many flows are open.
@@ -134,17 +145,17 @@
 
     /// Real servers that are listed and get nothing now, by the module's choice.
     pub fn avoided(&self) -> BTreeSet<ServerNo> {
-        self.module.avoided().collect()
+        self.controller.avoided().collect()
     }
 
     /// Endpoints that a process which begins anew has to meet with care.
-    pub fn ailing(&self) -> impl Iterator<Item = ServerNo> {
-        self.module.ailing()
+    pub fn unhealthy_endpoints(&self) -> impl Iterator<Item = ServerNo> {
+        self.controller.unhealthy_endpoints()
     }
 
     /// What the module has seen of each listed real server: its health, when it was last heard, and its told limit.
-    pub fn seen(&self) -> impl Iterator<Item = (ServerNo, crate::api::Health, Duration, f64)> {
-        self.module.seen()
+    pub fn health_records(&self) -> impl Iterator<Item = (ServerNo, crate::api::Health, Duration, f64)> {
+        self.controller.health_records()
     }
 
     /// Whether a step has something to work on.
@@ -158,13 +169,13 @@
     }
 
     /// A flow was handed in; the next step says whether it is taken.
-    pub fn offer(&mut self, flow: FlowNo, terms: FlowTerms, payload: P) {
-        self.offer_again(flow, terms, Past::default(), payload);
+    pub fn submit(&mut self, flow: FlowNo, terms: FlowTerms, payload: P) {
+        self.resubmit(flow, terms, Past::default(), payload);
     }
 
     /// The same for one that was sent before, as another flow.
-    pub fn offer_again(&mut self, flow: FlowNo, terms: FlowTerms, past: Past, payload: P) {
-        self.fresh.push(flow);
+    pub fn resubmit(&mut self, flow: FlowNo, terms: FlowTerms, past: Past, payload: P) {
+        self.submitted.push(flow);
         self.insert(flow, terms, past, payload);
     }
 
@@ -183,7 +194,7 @@
     /// Nobody wants the flow any more, and nothing is owed for it.
     pub fn withdraw(&mut self, flow: FlowNo) {
         if self.flows.remove(&flow).is_some() {
-            self.fresh.retain(|f| *f != flow);
+            self.submitted.retain(|f| *f != flow);
             self.events.push(Event::Withdrawn(flow));
         }
     }
@@ -197,7 +208,7 @@
             let end = finished.or((outcome == Outcome::Success).then_some(End::Delivered));
             terminal = end.is_some();
             if matches!(outcome, Outcome::Overloaded { wait: Some(_) }) {
-                self.told.insert(f.destination);
+                self.new_waits.insert(f.destination);
             }
             self.ended.extend(end.map(|end| (flow, end)));
         }
@@ -211,24 +222,27 @@
     }
 
     /// Service entries came: all there are, or those that changed.
-    pub fn take_entries(&mut self, entries: Vec<ServiceEntry>, all: bool) {
+    pub fn update_entries(&mut self, entries: Vec<ServiceEntry>, all: bool) {
         self.events.push(if all { Event::ListReplaced(entries) } else { Event::ListUpdate(entries) });
     }
 
     /// An endpoint is cold: what has been put back after a drain is, and that is what the module is told.
-    pub fn take_for_cold(&mut self, entry: ServiceEntry) {
+    pub fn mark_cold(&mut self, entry: ServiceEntry) {
         let drains = ServiceEntry { state: ListState::Draining, ..entry.clone() };
-        self.take_entries(vec![drains], false);
-        self.take_entries(vec![entry], false);
+        self.update_entries(vec![drains], false);
+        self.update_entries(vec![entry], false);
     }
 
     /// The limits that endpoints told, calls a second.
-    pub fn told_limits(&self) -> impl Iterator<Item = (ServerNo, f64)> {
-        self.module.seen().filter(|(_, _, _, limit)| *limit > 0.0).map(|(no, _, _, limit)| (no, limit))
+    pub fn reported_limits(&self) -> impl Iterator<Item = (ServerNo, f64)> {
+        self.controller
+            .health_records()
+            .filter(|(_, _, _, limit)| *limit > 0.0)
+            .map(|(no, _, _, limit)| (no, limit))
     }
 
     /// An endpoint told this limit before this process began: what a probe would have found that says nothing else.
-    pub fn know_limit(&mut self, server: ServerNo, rate: f64) {
+    pub fn restore_limit(&mut self, server: ServerNo, rate: f64) {
         self.probe_ended(server, Outcome::Void, Some(LimitReport { left: 0.0, rate }));
     }
 
--- a/src/core/step.rs
+++ b/src/core/step.rs
@@ -8,7 +8,7 @@
     pub fn step(&mut self, now: Duration, effects: &mut Vec<Effect<P>>) {
         let mut actions = Vec::new();
         let events = std::mem::take(&mut self.events);
-        self.module.step(now, &events, &mut actions);
+        self.controller.step(now, &events, &mut actions);
         for (flow, end) in std::mem::take(&mut self.ended) {
             if let Some(f) = self.flows.remove(&flow) {
                 effects.push(Effect::Ended(flow, f.payload, end));
@@ -21,19 +21,19 @@
             _ => None,
         };
         let over: BTreeSet<FlowNo> = actions.iter().filter_map(over).collect();
-        let fresh: BTreeSet<FlowNo> = std::mem::take(&mut self.fresh).into_iter().collect();
-        for flow in fresh.iter().filter(|f| !over.contains(f)) {
+        let submitted: BTreeSet<FlowNo> = std::mem::take(&mut self.submitted).into_iter().collect();
+        for flow in submitted.iter().filter(|f| !over.contains(f)) {
             if let Some(f) = self.flows.get(flow) {
-                effects.push(Effect::Taken(*flow, f.payload.clone()));
+                effects.push(Effect::Accepted(*flow, f.payload.clone()));
             }
         }
-        effects.extend(std::mem::take(&mut self.told).into_iter().map(Effect::HoldUnsent));
+        effects.extend(std::mem::take(&mut self.new_waits).into_iter().map(Effect::HoldUnsent));
         for action in actions {
-            self.carry(action, &fresh, effects);
+            self.apply(action, &submitted, effects);
         }
     }
 
-    fn carry(&mut self, action: Action, fresh: &BTreeSet<FlowNo>, effects: &mut Vec<Effect<P>>) {
+    fn apply(&mut self, action: Action, submitted: &BTreeSet<FlowNo>, effects: &mut Vec<Effect<P>>) {
         match action {
             Action::Send { id, endpoint, give_up_at } => {
                 let Some(f) = self.flows.get_mut(&id) else { return };
@@ -56,8 +56,8 @@
                 let payload = f.payload.clone();
                 effects.push(Effect::Call { flow: id, attempt, server: endpoint, give_up_at, payload });
             }
-            Action::Refuse { id, wait } => self.finish(id, End::Returned(wait), fresh, effects),
-            Action::Fail(id) => self.finish(id, End::Failed, fresh, effects),
+            Action::Refuse { id, wait } => self.finish(id, End::Returned(wait), submitted, effects),
+            Action::Fail(id) => self.finish(id, End::Failed, submitted, effects),
             Action::Cancel { id, attempt } => effects.push(Effect::StopCall(id, attempt)),
             Action::Wake { after, .. } => effects.push(Effect::Wake(after)),
             Action::Release(server) => effects.push(Effect::Release(server)),
@@ -69,10 +69,10 @@
         }
     }
 
-    fn finish(&mut self, id: FlowNo, end: End, fresh: &BTreeSet<FlowNo>, effects: &mut Vec<Effect<P>>) {
+    fn finish(&mut self, id: FlowNo, end: End, submitted: &BTreeSet<FlowNo>, effects: &mut Vec<Effect<P>>) {
         let Some(f) = self.flows.remove(&id) else { return };
-        effects.push(if fresh.contains(&id) {
-            Effect::TurnedDown(id, f.payload, end)
+        effects.push(if submitted.contains(&id) {
+            Effect::Rejected(id, f.payload, end)
         } else {
             Effect::Ended(id, f.payload, end)
         });
--- a/src/core/terms.rs
+++ b/src/core/terms.rs
@@ -53,9 +53,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect<P> {
     /// The flow is held from now on: make it lasting, then tell whoever handed it in.
-    Taken(FlowNo, P),
+    Accepted(FlowNo, P),
     /// The flow was not taken: it ended in the step that brought it.
-    TurnedDown(FlowNo, P, End),
+    Rejected(FlowNo, P, End),
     /// Call the real server; report its end once by [`super::Core::call_ended`].
     Call {
         /// The flow.
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,31 +1,32 @@
 //! The core, step by step.
 
 use super::*;
-use crate::api::{ClassId, ClassSettings, KindSettings, LateWorth, RateSource};
+use crate::api::{ClassId, ClassSettings, KindSettings, RateSource, UtilityDecay};
 
 pub(super) const NOW: Duration = Duration::from_secs(1_000_000);
 const TO: DestinationId = DestinationId(7);
 
-pub(super) fn core(most_held: usize) -> Core<&'static str> {
+pub(super) fn core(limit: usize) -> Core<&'static str> {
     let ms = Duration::from_millis;
-    let (aim, deadline, worth, late_worth) = (ms(1000), ms(9000), 1.0, 0.5);
-    let class = |effect| ClassSettings { aim, deadline, worth, late_worth, effect, ordered: false };
+    let (target_latency, deadline, utility, late_utility) = (ms(1000), ms(9000), 1.0, 0.5);
+    let class =
+        |effect| ClassSettings { target_latency, deadline, utility, late_utility, effect, ordered: false };
     let settings = Settings {
         classes: vec![class(crate::api::Effect::Once), class(crate::api::Effect::Repeatable)],
-        kinds: vec![KindSettings { per_call: 1, routes_apart: false }],
+        kinds: vec![KindSettings { per_call: 1, independent_routes: false }],
         tenants: vec![],
-        over_share_worth: 1.0,
-        late: LateWorth::Line,
+        over_quota_weight: 1.0,
+        utility_decay: UtilityDecay::Linear,
         rate_source: RateSource::None,
         senders: 1,
         handshake_cost: 0.0,
         max_calls: 8,
-        max_held: most_held,
+        max_held: limit,
         max_attempts: 4,
         probes: false,
         cancelling: true,
         ask_for_list: false,
-        must_ask_within: ms(10_000),
+        max_list_age: ms(10_000),
         max_client_wait: ms(500),
         tick: ms(5),
         connect_timeout: ms(500),
@@ -34,11 +35,11 @@
         cold_time: ms(500),
         overload_factor: 2.0,
         overload_span: ms(100),
-        key_rest: ms(0),
+        key_cooldown: ms(0),
     };
     let mut core = Core::new(settings, 1, NOW).unwrap();
     let state = ListState::Live;
-    core.take_entries(vec![ServiceEntry { destination: TO, state, ..ServiceEntry::default() }], true);
+    core.update_entries(vec![ServiceEntry { destination: TO, state, ..ServiceEntry::default() }], true);
     core
 }
 
@@ -64,23 +65,23 @@
 fn what_is_taken_comes_before_any_call_and_what_ends_at_once_was_never_taken() {
     let mut core = core(4);
     for flow in 1..=4 {
-        assert!(core.has_room(1));
-        core.offer(FlowNo(flow), terms(0), "p");
+        assert!(core.has_capacity(1));
+        core.submit(FlowNo(flow), terms(0), "p");
     }
-    assert!(!core.has_room(1));
+    assert!(!core.has_capacity(1));
     let effects = step(&mut core, 0);
-    let taken = effects.iter().filter(|e| matches!(e, Effect::Taken(..))).count();
+    let taken = effects.iter().filter(|e| matches!(e, Effect::Accepted(..))).count();
     assert_eq!(taken, 3, "{effects:?}");
-    assert!(effects[..3].iter().all(|e| matches!(e, Effect::Taken(..))), "{effects:?}");
+    assert!(effects[..3].iter().all(|e| matches!(e, Effect::Accepted(..))), "{effects:?}");
     let wait = Duration::from_millis(500);
-    assert!(effects.iter().any(|e| matches!(e, Effect::TurnedDown(_, "p", End::Returned(w)) if *w == wait)));
+    assert!(effects.iter().any(|e| matches!(e, Effect::Rejected(_, "p", End::Returned(w)) if *w == wait)));
     assert_eq!(core.open_flows(), 3);
 }
 
 #[test]
 fn ends_are_told_once_and_a_told_wait_holds_what_is_not_yet_out() {
     let mut core = core(50);
-    (1..=3).for_each(|flow| core.offer(FlowNo(flow), terms(0), "p"));
+    (1..=3).for_each(|flow| core.submit(FlowNo(flow), terms(0), "p"));
     assert_eq!(core.open_calls() + step(&mut core, 0).len(), 6);
     core.call_ended(end(1, Outcome::Success));
     core.call_ended(end(2, Outcome::Overloaded { wait: Some(Duration::from_secs(1)) }));
@@ -131,9 +132,9 @@
 fn a_flow_that_could_not_be_written_down_or_ran_out_meanwhile_ends_once_and_frees_its_place() {
     for written in [false, true] {
         let mut core = core(50);
-        core.offer(FlowNo(1), terms(0), "p");
+        core.submit(FlowNo(1), terms(0), "p");
         let effects = step(&mut core, 0);
-        assert!(matches!(effects[..], [Effect::Taken(..), Effect::Call { .. }]), "{effects:?}");
+        assert!(matches!(effects[..], [Effect::Accepted(..), Effect::Call { .. }]), "{effects:?}");
         if !written {
             core.withdraw(FlowNo(1));
         }
--- a/src/core/wakes.rs
+++ b/src/core/wakes.rs
@@ -45,8 +45,8 @@
         for disturbed_at in (0..400u64).map(|i| deadline - Duration::from_micros(10_000 + i * 400)) {
             let mut core = core(8);
             let (mut now, mut wakes, mut disturbed) = (NOW, Wakes::default(), false);
-            core.take_entries(vec![], true);
-            core.offer(FlowNo(1), terms(0), "p");
+            core.update_entries(vec![], true);
+            core.submit(FlowNo(1), terms(0), "p");
             loop {
                 let mut effects = Vec::new();
                 core.step(now, &mut effects);
@@ -61,7 +61,7 @@
                 let due = wakes.next().unwrap_or(now + Duration::from_secs(1));
                 now = if !disturbed && due > disturbed_at {
                     disturbed = true;
-                    core.offer(FlowNo(2), terms(0), "q");
+                    core.submit(FlowNo(2), terms(0), "q");
                     disturbed_at.max(now)
                 } else {
                     due.max(now)
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,21 +18,21 @@
 //!
 //! let ms = Duration::from_millis;
 //! let class = ClassSettings {
-//!     aim: ms(2000), deadline: ms(16_000), worth: 1.0, late_worth: 0.3,
+//!     target_latency: ms(2000), deadline: ms(16_000), utility: 1.0, late_utility: 0.3,
 //!     effect: Effect::Repeatable, ordered: false,
 //! };
 //! let settings = Settings {
 //!     classes: vec![class],
-//!     kinds: vec![KindSettings { per_call: 1, routes_apart: false }],
-//!     tenants: vec![], over_share_worth: 1.0,
-//!     late: LateWorth::Line, rate_source: RateSource::None, senders: 1,
+//!     kinds: vec![KindSettings { per_call: 1, independent_routes: false }],
+//!     tenants: vec![], over_quota_weight: 1.0,
+//!     utility_decay: UtilityDecay::Linear, rate_source: RateSource::None, senders: 1,
 //!     handshake_cost: 0.0,
 //!     max_calls: 10, max_held: 100, max_attempts: 6,
 //!     probes: false, cancelling: true, ask_for_list: false,
-//!     must_ask_within: Duration::from_secs(10),
+//!     max_list_age: Duration::from_secs(10),
 //!     max_client_wait: ms(2000), tick: ms(5), connect_timeout: ms(1000), keepalive: ms(10_000),
 //!     start_capacity: 0.2, cold_time: ms(12_000),
-//!     overload_factor: 2.0, overload_span: ms(3000), key_rest: ms(0),
+//!     overload_factor: 2.0, overload_span: ms(3000), key_cooldown: ms(0),
 //! };
 //! let mut now = ms(1_000);
 //! let mut controller = Controller::new(settings, 42, now)?;
--- a/src/net/operator/mail.rs
+++ b/src/net/operator/mail.rs
@@ -83,10 +83,13 @@
             return Err(ConfigError("mail: `deadline_s` is above the class's".into()));
         }
         names.kinds.push(MAIL_KIND.into());
+        settings.kinds.resize(
+            names.kinds.len() - 1,
+            crate::api::KindSettings { per_call: 1, independent_routes: false },
+        );
         settings
             .kinds
-            .resize(names.kinds.len() - 1, crate::api::KindSettings { per_call: 1, routes_apart: false });
-        settings.kinds.push(crate::api::KindSettings { per_call: m.per_call.max(1), routes_apart: false });
+            .push(crate::api::KindSettings { per_call: m.per_call.max(1), independent_routes: false });
         let route = |r: &RouteTable| {
             Some((r.domain.clone()?.to_ascii_lowercase(), mail_front::destination(r.destination)))
         };
--- a/src/net/operator/mod.rs
+++ b/src/net/operator/mod.rs
@@ -187,9 +187,9 @@
     pub fn add_routed_kind(&self, settings: &mut Settings, names: &mut Names) {
         if self.routing.is_some() {
             names.kinds.push(super::routing::KIND.into());
-            let plain = crate::api::KindSettings { per_call: 1, routes_apart: false };
+            let plain = crate::api::KindSettings { per_call: 1, independent_routes: false };
             settings.kinds.resize(names.kinds.len() - 1, plain);
-            settings.kinds.push(crate::api::KindSettings { per_call: 1, routes_apart: true });
+            settings.kinds.push(crate::api::KindSettings { per_call: 1, independent_routes: true });
         }
     }
 }
--- a/src/net/owner/admin.rs
+++ b/src/net/owner/admin.rs
@@ -43,7 +43,7 @@
         if let Some((no, entry)) = self.directory.ban(uid, on) {
             // Of a call that has not begun to go out, nothing goes out any more.
             self.hold_unsent(|to| on && to == no);
-            self.core.take_entries(vec![entry], false);
+            self.core.update_entries(vec![entry], false);
             self.sweep_servers();
         }
         self.census_at = Duration::ZERO;
--- a/src/net/owner/comeback/old_copy.rs
+++ b/src/net/owner/comeback/old_copy.rs
@@ -47,7 +47,7 @@
         }
         for uid in bans {
             if let Some((_, entry)) = self.directory.ban(&uid, false) {
-                self.core.take_entries(vec![entry], false);
+                self.core.update_entries(vec![entry], false);
             }
         }
         if let Err(e) = self.journal.write(&records) {
--- a/src/net/owner/comeback/told.rs
+++ b/src/net/owner/comeback/told.rs
@@ -68,7 +68,7 @@
     /// One that has been put back after a drain is cold; that is what the module is told of it.
     pub(in crate::net::owner) fn take_for_cold(&mut self, no: ServerNo) {
         if let Some(entry) = self.directory.service_entry(no).filter(|e| e.state == ListState::Live) {
-            self.core.take_for_cold(entry);
+            self.core.mark_cold(entry);
         }
     }
 
@@ -78,7 +78,7 @@
         if fleet.lent.insert(uid.to_string(), rev).is_none() {
             tracing::info!(uid, ?rev, "held back on the word of others");
             if let Some((_, entry)) = self.directory.ban(uid, true) {
-                self.core.take_entries(vec![entry], false);
+                self.core.update_entries(vec![entry], false);
             }
         }
     }
@@ -99,7 +99,7 @@
             if !self.journal.ledger().bans.contains(&uid)
                 && let Some((_, entry)) = self.directory.ban(&uid, false)
             {
-                self.core.take_entries(vec![entry], false);
+                self.core.update_entries(vec![entry], false);
             }
         }
     }
--- a/src/net/owner/effects.rs
+++ b/src/net/owner/effects.rs
@@ -8,18 +8,18 @@
         &mut self, effect: Effect<Rc<Parcel>>, now: Duration, lasting: bool, resent: &BTreeSet<FlowNo>,
     ) {
         match effect {
-            Effect::Taken(no, parcel) if lasting => {
+            Effect::Accepted(no, parcel) if lasting => {
                 self.book_fate(&parcel.id, FlowFate::Taken);
                 if let Some(w) = self.waiting.get(&no) {
                     let (class, to) = (&w.flow.class, w.flow.destination);
                     tracing::debug!(flow = no.0, id = parcel.id, class, destination = to, "flow taken");
                     if parcel.mail.is_none() {
-                        self.vigil.taken(no, &parcel.id, now, w.flow.deadline, false);
+                        self.watchdog.watch(no, &parcel.id, now, w.flow.deadline, false);
                     }
                 }
                 self.settle(no, Verdict::Taken);
             }
-            Effect::Taken(no, parcel) => {
+            Effect::Accepted(no, parcel) => {
                 // Guards the promise of a 202: what is not written down was not taken.
                 self.count(no, Fate::Refused);
                 self.core.withdraw(no);
@@ -29,7 +29,7 @@
                 self.forget(no, &parcel.id);
                 self.settle(no, Verdict::Full);
             }
-            Effect::TurnedDown(no, parcel, end) => {
+            Effect::Rejected(no, parcel, end) => {
                 self.count_end(no, end);
                 self.forget(no, &parcel.id);
                 let verdict = match end {
@@ -55,7 +55,7 @@
                     self.mail_calls.push((server, give_up_at, destination, item));
                     return;
                 }
-                self.vigil.note(flow, now, Line::Sent(attempt, server.0, give_up_at));
+                self.watchdog.record(flow, now, FlowEvent::Sent(attempt, server.0, give_up_at));
                 tracing::debug!(flow = flow.0, attempt, uid = self.directory.uid(server), "call");
                 let give_up_at = self.clock.instant(give_up_at);
                 let deadline = self.journal.ledger().open.get(&flow).map(|(f, _)| f.deadline);
@@ -79,7 +79,7 @@
                 }
             }
             Effect::StopCall(flow, attempt) => {
-                self.vigil.note(flow, now, Line::Stopped(attempt));
+                self.watchdog.record(flow, now, FlowEvent::Stopped(attempt));
                 if let Some(call) = self.calls.get(&(flow, attempt)) {
                     call.switch.stop();
                 }
@@ -90,8 +90,8 @@
             Effect::Ended(no, parcel, end) => {
                 tracing::debug!(flow = no.0, id = parcel.id, end = end_name(end), "flow ended");
                 let owed = owes_notice(&parcel, end) && !resent.contains(&no);
-                self.vigil.note(no, now, Line::Ended(end_name(end), owed));
-                if !owed && let Some(story) = self.vigil.kept(no, now) {
+                self.watchdog.record(no, now, FlowEvent::Ended(end_name(end), owed));
+                if !owed && let Some(story) = self.watchdog.resolve(no, now) {
                     tracing::error!("{story}");
                 }
                 if let Some(view) = self.views.remove(&no) {
--- a/src/net/owner/fleet/view.rs
+++ b/src/net/owner/fleet/view.rs
@@ -35,7 +35,7 @@
         for uid in self.directory.draining() {
             facts.push(Fact { of: name_digest(uid), age_ms: 0, kind: Kind::Drain });
         }
-        for (no, health, heard, told) in self.core.seen() {
+        for (no, health, heard, told) in self.core.health_records() {
             let of = name_digest(&self.directory.uid(no));
             let (sight, at) = match health {
                 Health::Well => (Sight::Well, heard),
--- a/src/net/owner/handover.rs
+++ b/src/net/owner/handover.rs
@@ -95,7 +95,7 @@
         if !self.unwritten.is_empty() {
             return Err("the journal cannot be written");
         }
-        let core = self.core.written().ok_or("it is about to end")?;
+        let core = self.core.snapshot().ok_or("it is about to end")?;
         let core = write(&core).map_err(|_| "the module's state cannot be written")?;
         for call in &mut parked.calls {
             let first = call.note.items.first().map(|i| (i.flow, i.attempt));
@@ -171,7 +171,7 @@
         let core = read(&state.core).map_err(|_| OwnerError::Handed("the module's state"))?;
         let ledger = self.journal.ledger();
         let payload = |no: FlowNo| ledger.open.get(&no).map(|(f, _)| f.parcel.clone());
-        self.core = Core::from_read(core, config.settings.max_held, payload)
+        self.core = Core::restore(core, config.settings.max_held, payload)
             .ok_or(OwnerError::Handed("the journal lacks a flow"))?;
         if !self.routing.is_empty() {
             self.core.set_proposer(self.routing.proposer());
--- a/src/net/owner/lasting.rs
+++ b/src/net/owner/lasting.rs
@@ -56,7 +56,7 @@
     /// A 202, and a call that must not be made twice, are promises that a loss of power must not break.
     fn must_last(&self, effect: &Effect<Rc<Parcel>>) -> bool {
         match effect {
-            Effect::Taken(..) => true,
+            Effect::Accepted(..) => true,
             Effect::Call { flow, .. } => {
                 let class = self.places.get(flow).and_then(|p| self.classes.get(p.class));
                 class.is_none_or(|c| c.0 == crate::api::Effect::Once)
@@ -124,7 +124,8 @@
     fn sync_failed(&mut self, e: &io::Error) {
         tracing::error!("journal: not synced: {e}; new flows are turned down");
         for step in std::mem::take(&mut self.held_back.steps) {
-            let taken = |e: &Effect<Rc<Parcel>>| if let Effect::Taken(no, _) = e { Some(*no) } else { None };
+            let taken =
+                |e: &Effect<Rc<Parcel>>| if let Effect::Accepted(no, _) = e { Some(*no) } else { None };
             let ends: Vec<_> =
                 step.effects.iter().filter_map(taken).map(|no| Record::Ended(no, None)).collect();
             self.unwritten.extend(ends);
--- a/src/net/owner/mod.rs
+++ b/src/net/owner/mod.rs
@@ -46,8 +46,8 @@
 use super::upgrade::wire::Peer;
 use super::upstream::{self, CallOrder, Switch, Upstream};
 use crate::api::{ClassId, DestinationId, KindId, ListState, Note, Past, TenantId};
-use crate::core::vigil::{Line, Vigil};
 use crate::core::wakes::Wakes;
+use crate::core::watchdog::{DeadlineWatchdog, FlowEvent};
 use crate::core::{CallEnd, Core, Effect, End, FlowNo, FlowTerms, Outcome, ServerNo};
 use crate::plugin::{FlowView, Hooks};
 use crate::settings::Names;
@@ -104,7 +104,7 @@
 pub struct Owner {
     core: Core<Rc<Parcel>>,
     journal: Journal,
-    vigil: Vigil,
+    watchdog: DeadlineWatchdog,
     names: Names,
     clock: Clock,
     phase: Phase,
--- a/src/net/owner/new.rs
+++ b/src/net/owner/new.rs
@@ -40,7 +40,7 @@
             core,
             next: journal.ledger().next.max(1),
             journal,
-            vigil: Vigil::default(),
+            watchdog: DeadlineWatchdog::default(),
             names: config.names.clone(),
             clock,
             phase,
@@ -52,7 +52,7 @@
             routing,
             classes: config.settings.classes.iter().map(|c| (c.effect, c.deadline)).collect(),
             per_call: config.settings.kinds.iter().map(|k| k.per_call).collect(),
-            apart: config.settings.kinds.iter().map(|k| k.routes_apart).collect(),
+            apart: config.settings.kinds.iter().map(|k| k.independent_routes).collect(),
             witness,
             directory: Directory::default(),
             list_rev: config.known.rev,
@@ -91,7 +91,7 @@
             datagrams,
             comeback: None,
             cold_time: config.settings.cold_time,
-            worth: config.settings.classes.iter().map(|c| c.worth).collect(),
+            worth: config.settings.classes.iter().map(|c| c.utility).collect(),
             orders,
         };
         if let Some(state) = handed {
--- a/src/net/owner/offers.rs
+++ b/src/net/owner/offers.rs
@@ -29,7 +29,7 @@
             Some(Verdict::Ending(come_back(self.draining_since, self.clock.now())))
         } else if let Some(wait) = self.not_yet(class) {
             Some(Verdict::TurnedDown(wait))
-        } else if !self.core.has_room(items.len()) || !self.journal.has_room(items.len(), bytes) {
+        } else if !self.core.has_capacity(items.len()) || !self.journal.has_room(items.len(), bytes) {
             Some(Verdict::Full)
         } else {
             None
@@ -93,7 +93,7 @@
             self.places.insert(no, Place { destination, class: class_no, resend: false });
             self.routing.flow_opens(no, &parcel);
             self.witness_offer(no, &terms, deadline, &parcel);
-            self.core.offer(no, terms, parcel.clone());
+            self.core.submit(no, terms, parcel.clone());
             let (class, tenant) = (class.clone(), tenant.clone());
             let flow =
                 TakenFlow { deadline, class, tenant, destination: destination.0, parcel, resend_of: None };
@@ -138,13 +138,13 @@
         let group = |no: &FlowNo| self.waiting.get(no).map(|w| w.group);
         let joint = |g: &u64| self.groups.get(g).is_some_and(|g| g.together);
         let taken = |e: &Effect<Rc<Parcel>>| match e {
-            Effect::Taken(no, _) => group(no).filter(joint),
+            Effect::Accepted(no, _) => group(no).filter(joint),
             _ => None,
         };
         let taken: BTreeSet<u64> = effects.iter().filter_map(taken).collect();
         let both = |e: Effect<Rc<Parcel>>| match e {
-            Effect::TurnedDown(no, parcel, end) if group(&no).is_some_and(|g| taken.contains(&g)) => {
-                vec![Effect::Taken(no, parcel.clone()), Effect::Ended(no, parcel, end)]
+            Effect::Rejected(no, parcel, end) if group(&no).is_some_and(|g| taken.contains(&g)) => {
+                vec![Effect::Accepted(no, parcel.clone()), Effect::Ended(no, parcel, end)]
             }
             other => vec![other],
         };
--- a/src/net/owner/recovery.rs
+++ b/src/net/owner/recovery.rs
@@ -106,7 +106,7 @@
         self.places.insert(no, Place { destination, class, resend });
         self.routing.flow_opens(no, &flow.parcel);
         if flow.parcel.mail.is_none() && !resend {
-            self.vigil.taken(no, &flow.parcel.id, now, flow.deadline, true);
+            self.watchdog.watch(no, &flow.parcel.id, now, flow.deadline, true);
         }
         Some(class)
     }
--- a/src/net/owner/sights.rs
+++ b/src/net/owner/sights.rs
@@ -8,8 +8,8 @@
     /// journal held for it all went out at once; and where the limit is not known, a cold endpoint is taken for the smallest
     /// one and gets next to nothing. Should it not be written, the next look tries again.
     pub(super) fn write_sights(&mut self) {
-        let ill = self.core.ailing().map(|no| self.directory.uid(no)).collect();
-        let told = self.core.told_limits().map(|(no, limit)| (self.directory.uid(no), limit)).collect();
+        let ill = self.core.unhealthy_endpoints().map(|no| self.directory.uid(no)).collect();
+        let told = self.core.reported_limits().map(|(no, limit)| (self.directory.uid(no), limit)).collect();
         let records = self.journal.ledger().sights(&ill, &told);
         if let Err(e) = self.journal.write(&records) {
             tracing::debug!("journal: what was seen of endpoints is not written: {e}");
@@ -28,6 +28,6 @@
             tracing::info!(ill, limits, "endpoints as the process before knew them");
         }
         ill.into_iter().for_each(|no| self.take_for_cold(no));
-        limits.into_iter().for_each(|(no, rate)| self.core.know_limit(no, rate));
+        limits.into_iter().for_each(|(no, rate)| self.core.restore_limit(no, rate));
     }
 }
--- a/src/net/owner/step.rs
+++ b/src/net/owner/step.rs
@@ -19,11 +19,11 @@
             let owed = self.journal.ledger().owed.iter().take(notices::BATCH);
             let batch: Vec<_> = owed.map(|(no, owed)| (*no, owed.clone())).collect();
             let now = self.clock.now();
-            batch.iter().for_each(|(no, _)| self.vigil.note(*no, now, Line::Telling));
+            batch.iter().for_each(|(no, _)| self.watchdog.record(*no, now, FlowEvent::Notifying));
             self.telling = self.notices.try_send(batch).is_ok();
         }
         let now = self.clock.now();
-        self.vigil.overdue(now).into_iter().for_each(|story| tracing::error!("{story}"));
+        self.watchdog.overdue(now).into_iter().for_each(|story| tracing::error!("{story}"));
         self.take_census(now);
         self.witness_step(false);
     }
@@ -41,12 +41,12 @@
         }
         for effect in &effects {
             match effect {
-                Effect::Taken(no, _) => {
+                Effect::Accepted(no, _) => {
                     let flow = self.waiting.get(no).map(|w| &w.flow);
                     let flow = flow.or_else(|| self.resends.get(no).map(|r| &r.flow));
                     records.extend(flow.map(|f| Record::Taken(*no, f.clone())));
                 }
-                Effect::TurnedDown(no, ..) if self.resends.contains_key(no) => {
+                Effect::Rejected(no, ..) if self.resends.contains_key(no) => {
                     resent.insert(*no);
                     self.settle_resend(*no, None, false, now);
                 }
--- a/src/net/owner/take.rs
+++ b/src/net/owner/take.rs
@@ -13,8 +13,8 @@
             }
             ToOwner::Synced(made) => self.synced(made),
             ToOwner::CallEnded(end, detail) => {
-                let line = Line::CallEnded(end.attempt, outcome_name(end.outcome));
-                self.vigil.note(end.flow, self.clock.now(), line);
+                let line = FlowEvent::CallEnded(end.attempt, outcome_name(end.outcome));
+                self.watchdog.record(end.flow, self.clock.now(), line);
                 self.calls.remove(&(end.flow, end.attempt));
                 let (uid, to) = (self.directory.uid(end.server), self.directory.destination(end.server).0);
                 let CallEnd { attempt, outcome, elapsed, limit, .. } = end;
@@ -79,7 +79,7 @@
                 let now = self.clock.now();
                 flows
                     .iter()
-                    .filter_map(|no| self.vigil.kept(*no, now))
+                    .filter_map(|no| self.watchdog.resolve(*no, now))
                     .for_each(|story| tracing::error!("{story}"));
                 self.unwritten.extend(flows.into_iter().map(Record::Noticed));
             }
@@ -102,7 +102,7 @@
         }
         let entries =
             of_list.chain(own).flat_map(|(raw, wire)| self.directory.entry(raw, wire, &self.names)).collect();
-        self.core.take_entries(entries, list.all);
+        self.core.update_entries(entries, list.all);
         self.hold_leaving();
         self.sweep_servers();
         self.routing.name_servers(&self.directory);
@@ -153,7 +153,7 @@
             scribe.listed(changed.clone().map(|f| &f.entry), false, self.clock.now());
         }
         let entries = changed.flat_map(|f| self.directory.entry(&f.entry, f.wire, &self.names)).collect();
-        self.core.take_entries(entries, false);
+        self.core.update_entries(entries, false);
         self.hold_leaving();
         self.sweep_servers();
         self.routing.name_servers(&self.directory);
--- a/src/net/owner/undelivered.rs
+++ b/src/net/owner/undelivered.rs
@@ -202,7 +202,7 @@
                 let slots = (self.max_calls / SLOTS_SHARE).max(1);
                 if keeper.is_late()
                     || self.resends.len() >= slots
-                    || !self.core.has_room(self.most_held / HELD_SHARE)
+                    || !self.core.has_capacity(self.most_held / HELD_SHARE)
                 {
                     break;
                 }
@@ -281,7 +281,7 @@
         self.routing.flow_opens(no, &parcel);
         self.witness_offer(no, &terms, flow.deadline, &parcel);
         self.resends.insert(no, Resend { key, flow });
-        self.core.offer_again(no, terms, Past { risk, ..Past::default() }, parcel);
+        self.core.resubmit(no, terms, Past { risk, ..Past::default() }, parcel);
         true
     }
 }
--- a/src/net/owner/witness/out.rs
+++ b/src/net/owner/witness/out.rs
@@ -12,7 +12,7 @@
         }
         for effect in effects {
             match effect {
-                Effect::Taken(no, _) if lasting => self.fact(Fact::Taken(*no), now),
+                Effect::Accepted(no, _) if lasting => self.fact(Fact::Taken(*no), now),
                 Effect::Call { flow, attempt, server, give_up_at, .. } if lasting => {
                     if self.directory.get(*server).is_some_and(|s| s.address.is_some()) {
                         let patience = give_up_at.saturating_sub(now);
@@ -31,8 +31,8 @@
     fn witness_rare(&mut self, effect: &Effect<Rc<Parcel>>, now: Duration) {
         let server = match effect {
             Effect::Probe(server) | Effect::Note(Note::Health(server, ..)) => *server,
-            Effect::Taken(..)
-            | Effect::TurnedDown(..)
+            Effect::Accepted(..)
+            | Effect::Rejected(..)
             | Effect::StopCall(..)
             | Effect::Note(Note::Timer(..)) => ServerNo::default(),
             _ => return,
@@ -40,11 +40,9 @@
         let (uid, destination) = (self.directory.uid(server), self.directory.destination(server));
         let Some(scribe) = self.scribe() else { return };
         match effect {
-            Effect::Taken(no, _) => scribe.turned_down(*no, Why::Journal, Duration::ZERO, now),
-            Effect::TurnedDown(no, _, End::Returned(wait)) => {
-                scribe.turned_down(*no, Why::Module, *wait, now)
-            }
-            Effect::TurnedDown(no, ..) => scribe.turned_down(*no, Why::GivenUp, Duration::ZERO, now),
+            Effect::Accepted(no, _) => scribe.turned_down(*no, Why::Journal, Duration::ZERO, now),
+            Effect::Rejected(no, _, End::Returned(wait)) => scribe.turned_down(*no, Why::Module, *wait, now),
+            Effect::Rejected(no, ..) => scribe.turned_down(*no, Why::GivenUp, Duration::ZERO, now),
             Effect::StopCall(flow, attempt) => scribe.stopped(*flow, *attempt, now),
             Effect::Probe(_) => scribe.probed(uid, destination, None, now),
             Effect::Note(Note::Health(_, from, to, after)) => {
--- a/src/net/relay/start.rs
+++ b/src/net/relay/start.rs
@@ -35,12 +35,13 @@
     config: &Config, settings: &TraceSettings, now: Duration,
 ) -> Result<Witness, StartError> {
     let classes = &config.settings.classes;
-    let terms = classes.iter().map(|c| ClassTerms { effect: c.effect, aim: c.aim, life: c.deadline });
+    let terms =
+        classes.iter().map(|c| ClassTerms { effect: c.effect, aim: c.target_latency, life: c.deadline });
     let described = config.names.classes.iter().zip(classes).map(|(name, c)| Class {
         name: name.clone(),
-        worth: (c.worth * 1e3) as u64,
-        late: (c.late_worth * 1e3) as u32,
-        aim_us: c.aim.as_micros() as u64,
+        worth: (c.utility * 1e3) as u64,
+        late: (c.late_utility * 1e3) as u32,
+        aim_us: c.target_latency.as_micros() as u64,
         life_us: c.deadline.as_micros() as u64,
     });
     let whose = Whose { relay: config.name.clone(), since: now, classes: described.collect() };
--- a/src/net/routing.rs
+++ b/src/net/routing.rs
@@ -209,12 +209,12 @@
         let key = routed.get(&message).and_then(|p| p.routed.as_ref()).map_or(&[][..], |r| &r.key);
         match groups.propose(destination.0, key, &mut |server| allowed(EndpointId(server))) {
             Proposal::NoGroup => Proposed::NoOpinion,
-            Proposal::Nobody => Proposed::Nobody,
+            Proposal::Nobody => Proposed::NoneAllowed,
             Proposal::Server(server) => Proposed::Endpoint(EndpointId(server)),
         }
     }
 
-    fn busy(&mut self, endpoint: EndpointId, calls_out: usize) {
+    fn set_open_calls(&mut self, endpoint: EndpointId, calls_out: usize) {
         self.0.borrow_mut().groups.busy(endpoint.0, u32::try_from(calls_out).unwrap_or(u32::MAX));
     }
 }
--- a/src/net/upgrade/state/tests.rs
+++ b/src/net/upgrade/state/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::api::{ClassId, DestinationId, ListState};
-use crate::common::{line, ms, settings};
+use crate::common::{entry, ms, settings};
 use crate::core::{Core, FlowTerms};
 use crate::net::upgrade::parking::ItemNote;
 
@@ -12,13 +12,13 @@
 fn another_form_of_the_state_is_another_format() {
     let mut core = Core::new(settings(), 7, ms(1000)).unwrap();
     let to = DestinationId(7);
-    core.take_entries(vec![line(1, to, 0, ListState::Live), line(2, to, 0, ListState::Draining)], true);
+    core.update_entries(vec![entry(1, to, 0, ListState::Live), entry(2, to, 0, ListState::Draining)], true);
     for no in 1..4 {
         let terms = FlowTerms { class: ClassId(0), tenant: None, destination: to, remaining: ms(5000) };
-        core.offer(FlowNo(no), terms, ());
+        core.submit(FlowNo(no), terms, ());
     }
     core.step(ms(1000), &mut Vec::new());
-    let bytes = write(&core.written().unwrap()).unwrap();
+    let bytes = write(&core.snapshot().unwrap()).unwrap();
     let call = CallNote {
         items: vec![ItemNote { flow: FlowNo(1), attempt: 2, left: ms(2) }],
         server: Default::default(),
@@ -41,11 +41,8 @@
     let whole = write(&state).unwrap();
     assert_eq!((FORMAT, whole.len(), crc32fast::hash(&whole)), (6, 591, 561230223));
     assert_eq!(read::<State>(&whole).unwrap().sockets(), 3);
-    let again = Core::from_read(read(&bytes).unwrap(), 9, |_| Some(())).unwrap();
-    assert_eq!(write(&again.written().unwrap()).unwrap(), bytes);
-    assert!(
-        Core::from_read(read(&bytes).unwrap(), 9, |_| None::<()>).is_none(),
-        "a flow without its payload"
-    );
+    let again = Core::restore(read(&bytes).unwrap(), 9, |_| Some(())).unwrap();
+    assert_eq!(write(&again.snapshot().unwrap()).unwrap(), bytes);
+    assert!(Core::restore(read(&bytes).unwrap(), 9, |_| None::<()>).is_none(), "a flow without its payload");
     assert!(read::<State>(&bytes).is_err());
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -149,14 +149,18 @@
     let classes = c.classes.iter().map(class).collect::<Result<_, _>>()?;
     let kinds = (0..c.models.len()).map(|k| KindSettings {
         per_call: c.extra.per_call.get(k).copied().unwrap_or(1),
-        routes_apart: c.extra.own_limits.get(k).copied().unwrap_or(false),
+        independent_routes: c.extra.own_limits.get(k).copied().unwrap_or(false),
     });
     let settings = Settings {
         classes,
         kinds: kinds.collect(),
         tenants: c.tenants.iter().map(|t| TenantSettings { quota_per_s: t.quota_per_s }).collect(),
-        over_share_worth: c.over_share_worth,
-        late: if c.extra.loses_worth == "halves" { LateWorth::Halves } else { LateWorth::Line },
+        over_quota_weight: c.over_share_worth,
+        utility_decay: if c.extra.loses_worth == "halves" {
+            UtilityDecay::Halving
+        } else {
+            UtilityDecay::Linear
+        },
         rate_source: match c.weight_source.as_str() {
             "nominal" => RateSource::Nominal,
             _ => RateSource::None,
@@ -169,7 +173,7 @@
         probes: c.limits.probes,
         cancelling: c.limits.cancelling,
         ask_for_list: c.discovery == "ask",
-        must_ask_within: c.invariants.must_ask_in_ms.0,
+        max_list_age: c.invariants.must_ask_in_ms.0,
         max_client_wait: c.limits.max_retry_after_ms.0,
         tick: c.tick_ms.0,
         connect_timeout: c.limits.dial_timeout_ms.0,
@@ -178,7 +182,7 @@
         cold_time: c.invariants.cold_ms.0,
         overload_factor: c.invariants.overload_factor,
         overload_span: c.invariants.overload_for_ms.0,
-        key_rest: c.invariants.turn_gap_ms.0,
+        key_cooldown: c.invariants.turn_gap_ms.0,
     };
     let names = Names {
         classes: c.classes.into_iter().map(|x| x.name).collect(),
@@ -204,10 +208,10 @@
         }
     };
     Ok(ClassSettings {
-        aim: c.aim_ms.0,
+        target_latency: c.aim_ms.0,
         deadline: c.deadline_ms.0,
-        worth: c.worth,
-        late_worth: c.late_worth,
+        utility: c.worth,
+        late_utility: c.late_worth,
         effect,
         ordered: c.by_arrival,
     })
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -8,11 +8,11 @@
 
 #[test]
 fn a_message_that_never_goes_out_is_handed_back_once_before_its_deadline() {
-    let mut bed = Bed::new(settings(), &[]);
-    let (id, actions) = bed.message(0, None);
+    let mut harness = ControllerHarness::new(settings(), &[]);
+    let (id, actions) = harness.submit(0, None);
     assert!(sends(&actions).is_empty());
-    let start = bed.now;
-    let later = bed.pass(ms(17_000));
+    let start = harness.now;
+    let later = harness.advance(ms(17_000));
     let end = |a: &Action| matches!(a, Action::Fail(x) | Action::Refuse { id: x, .. } if *x == id);
     let ends: Vec<_> = later.iter().filter(|(_, a)| end(a)).collect();
     assert_eq!(ends.len(), 1);
@@ -23,19 +23,19 @@
 /// A message without a future is answered in the step in which that is known, not near its deadline.
 #[test]
 fn a_message_that_can_never_go_again_is_answered_at_once() {
-    let mut bed = Bed::new(Settings { max_attempts: 2, ..settings() }, &[1]);
+    let mut harness = ControllerHarness::new(Settings { max_attempts: 2, ..settings() }, &[1]);
     for outcome in [FULL, Outcome::Unreachable, Outcome::Failure, Outcome::TimedOut] {
-        let (id, actions) = bed.message(0, None);
+        let (id, actions) = harness.submit(0, None);
         let endpoint = sends(&actions).first().map_or(EndpointId(1), |s| s.1);
         if sends(&actions).is_empty() {
-            bed.step(vec![Event::Withdrawn(id)]);
+            harness.step(vec![Event::Withdrawn(id)]);
             continue;
         }
-        let first = bed.outcome(id, 0, endpoint, outcome);
+        let first = harness.outcome(id, 0, endpoint, outcome);
         assert!(!first.contains(&Action::Fail(id)), "a try is left after {outcome:?}");
-        let again = timed_sends(&bed.pass(ms(15_000)));
+        let again = timed_sends(&harness.advance(ms(15_000)));
         let Some(second) = again.iter().find(|s| s.1 == id) else { panic!("not tried again: {outcome:?}") };
-        let last = bed.outcome(id, 1, second.2, outcome);
+        let last = harness.outcome(id, 1, second.2, outcome);
         let answer =
             last.iter().any(|a| matches!(a, Action::Fail(x) | Action::Refuse { id: x, .. } if *x == id));
         assert!(answer, "no answer at once after {outcome:?}");
@@ -46,13 +46,13 @@
 #[test]
 fn what_is_given_up_early_is_handed_back_where_that_is_harmless() {
     let given_up = |class, remaining, outcome| {
-        let mut bed = Bed::new(Settings { max_attempts: 1, ..settings() }, &[1]);
-        let (id, mut event) = bed.order(class, None);
+        let mut harness = ControllerHarness::new(Settings { max_attempts: 1, ..settings() }, &[1]);
+        let (id, mut event) = harness.new_message(class, None);
         if let Event::Message(m) = &mut event {
             m.remaining = remaining;
         }
-        bed.step(vec![event]);
-        bed.outcome(id, 0, EndpointId(1), outcome).contains(&Action::Refuse { id, wait: ms(2000) })
+        harness.step(vec![event]);
+        harness.outcome(id, 0, EndpointId(1), outcome).contains(&Action::Refuse { id, wait: ms(2000) })
     };
     assert!(given_up(0, ms(16_000), Outcome::Failure), "safe to repeat, with time left");
     assert!(given_up(2, ms(16_000), FULL), "it never ran");
@@ -66,17 +66,17 @@
     for (senders, left, rate) in
         [(1, -5.0, 0.0), (300, 1e300, 1e300), (300, 0.0, -7.0), (1, f64::MIN, 1e-300)]
     {
-        let mut bed = Bed::new(Settings { max_calls: 1, senders, ..settings() }, &[1, 2]);
+        let mut harness = ControllerHarness::new(Settings { max_calls: 1, senders, ..settings() }, &[1, 2]);
         let mut open = std::collections::BTreeSet::new();
         let mut attempts = std::collections::BTreeMap::new();
         for n in 0..240 {
             let mut todo = Vec::new();
             if n < 40 {
-                let (id, actions) = bed.message(n % 3, None);
+                let (id, actions) = harness.submit(n % 3, None);
                 open.insert(id);
                 todo.extend(actions);
             }
-            todo.extend(bed.pass(ms(100)).into_iter().map(|(_, action)| action));
+            todo.extend(harness.advance(ms(100)).into_iter().map(|(_, action)| action));
             while let Some(action) = todo.pop() {
                 match action {
                     Action::Fail(id) | Action::Refuse { id, .. } => {
@@ -90,7 +90,7 @@
                         let terminal = outcome == Outcome::Success && open.remove(&id);
                         let limit = Some(LimitReport { left, rate });
                         let end = AttemptEnd { id, attempt, endpoint, outcome, elapsed, terminal, limit };
-                        todo.extend(bed.step(vec![Event::Outcome(end)]));
+                        todo.extend(harness.step(vec![Event::Outcome(end)]));
                     }
                     _ => {}
                 }
--- a/tests/stage/fleet.rs
+++ b/tests/cluster/fleet.rs
@@ -5,30 +5,36 @@
 
 /// How a partner is away.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Away {
+pub enum OutageKind {
     /// It refuses connections.
-    Refuses,
+    ConnectionRefused,
     /// It takes calls and answers none.
     Silent,
     /// It says no, and not for how long.
-    Shut,
+    Overloaded,
     /// It says no, and until when.
-    Told,
+    OverloadedWithWait,
     /// It answers with errors.
-    Errs,
+    Errors,
 }
 
-pub const WAYS: [Away; 5] = [Away::Refuses, Away::Silent, Away::Shut, Away::Told, Away::Errs];
+pub const OUTAGE_KINDS: [OutageKind; 5] = [
+    OutageKind::ConnectionRefused,
+    OutageKind::Silent,
+    OutageKind::Overloaded,
+    OutageKind::OverloadedWithWait,
+    OutageKind::Errors,
+];
 
-impl Away {
+impl OutageKind {
     /// What a call hears, if anything; `wait` is what is told where a wait is.
-    pub fn says(self, wait: Duration) -> Option<Outcome> {
+    pub fn outcome(self, wait: Duration) -> Option<Outcome> {
         match self {
-            Away::Refuses => Some(Outcome::Unreachable),
-            Away::Silent => None,
-            Away::Shut => Some(Outcome::Overloaded { wait: None }),
-            Away::Told => Some(Outcome::Overloaded { wait: Some(wait) }),
-            Away::Errs => Some(Outcome::Failure),
+            OutageKind::ConnectionRefused => Some(Outcome::Unreachable),
+            OutageKind::Silent => None,
+            OutageKind::Overloaded => Some(Outcome::Overloaded { wait: None }),
+            OutageKind::OverloadedWithWait => Some(Outcome::Overloaded { wait: Some(wait) }),
+            OutageKind::Errors => Some(Outcome::Failure),
         }
     }
 }
@@ -38,24 +44,33 @@
     pub rate: f64,
     pub start: f64,
     pub cold: Duration,
-    pub away: (Duration, Duration, Away),
+    pub outage: (Duration, Duration, OutageKind),
     /// When calls and probes came, and of which relay.
     pub arrivals: Vec<(Duration, usize)>,
     /// Relays that saw a call or a probe fail, or be refused, while it was away.
-    pub knew: BTreeSet<usize>,
+    pub observers: BTreeSet<usize>,
     tokens: f64,
     at: Duration,
 }
 
 impl Partner {
-    pub fn new(rate: f64, settings: &Settings, away: (Duration, Duration, Away)) -> Partner {
+    pub fn new(rate: f64, settings: &Settings, outage: (Duration, Duration, OutageKind)) -> Partner {
         let (start, cold) = (settings.start_capacity, settings.cold_time);
-        Partner { rate, start, cold, away, arrivals: vec![], knew: BTreeSet::new(), tokens: 1.0, at: START }
+        Partner {
+            rate,
+            start,
+            cold,
+            outage,
+            arrivals: vec![],
+            observers: BTreeSet::new(),
+            tokens: 1.0,
+            at: START,
+        }
     }
 
     /// Calls a second that it takes at a moment.
     pub fn capacity(&self, now: Duration) -> f64 {
-        let (from, back, _) = self.away;
+        let (from, back, _) = self.outage;
         if now < from {
             return self.rate;
         }
@@ -64,12 +79,12 @@
     }
 
     /// What a call that comes now will hear; none: nothing.
-    pub fn hears(&mut self, relay: usize, now: Duration) -> Option<Outcome> {
+    pub fn respond(&mut self, relay: usize, now: Duration) -> Option<Outcome> {
         self.arrivals.push((now, relay));
-        let (from, back, how) = self.away;
+        let (from, back, how) = self.outage;
         if (from..back).contains(&now) {
             self.tokens = 0.0;
-            return how.says(back - now);
+            return how.outcome(back - now);
         }
         let capacity = self.capacity(now);
         self.tokens = (self.tokens + capacity * (now - self.at).as_secs_f64()).min(capacity.max(1.0));
@@ -82,9 +97,9 @@
     }
 
     /// A relay has heard what became of a call or a probe.
-    fn told(&mut self, relay: usize, outcome: Outcome, now: Duration) {
-        if outcome != Outcome::Success && (self.away.0..self.away.1).contains(&now) {
-            self.knew.insert(relay);
+    fn record_outcome(&mut self, relay: usize, outcome: Outcome, now: Duration) {
+        if outcome != Outcome::Success && (self.outage.0..self.outage.1).contains(&now) {
+            self.observers.insert(relay);
         }
     }
 
@@ -100,11 +115,11 @@
     /// The worst window of the cold rule after the return: calls in it over what it may hold and two more, for
     /// the rule has some slack for chance. It counts where two thirds came from relays that knew of the outage.
     pub fn worst(&self, settings: &Settings) -> f64 {
-        let (back, span) = (self.away.1, settings.overload_span);
+        let (back, span) = (self.outage.1, settings.overload_span);
         let after: Vec<_> = self.arrivals.iter().filter(|a| a.0 >= back).collect();
         let window = |end: Duration| {
             let calls: Vec<_> = after.iter().filter(|a| a.0 <= end && a.0 + span > end).collect();
-            let knowing = calls.iter().filter(|a| self.knew.contains(&a.1)).count();
+            let knowing = calls.iter().filter(|a| self.observers.contains(&a.1)).count();
             let may = 2.0 + settings.overload_factor * self.capacity(end) * span.as_secs_f64();
             if knowing * 3 >= calls.len() * 2 { calls.len() as f64 / may } else { 0.0 }
         };
@@ -132,15 +147,15 @@
     pub fn new(settings: &Settings, partner: Partner, servers: u32, seed: u64) -> Fleet {
         let relay = |n: u32| {
             let mut relay = Relay::new(settings, seed * 100 + u64::from(n), 1 << 20, START);
-            relay.core.take_entries(entries(servers), true);
+            relay.core.update_entries(entries(servers), true);
             relay
         };
         let relays = (0..settings.senders).map(relay).collect();
         Fleet { now: START, partner, relays, servers, out: vec![], delivered: 0, failed: 0 }
     }
 
-    pub fn offer(&mut self, relay: usize, class: usize, life: Duration) -> Option<FlowNo> {
-        self.relays[relay].offer(class, TO, self.now + life, self.now)
+    pub fn submit(&mut self, relay: usize, class: usize, life: Duration) -> Option<FlowNo> {
+        self.relays[relay].submit(class, TO, self.now + life, self.now)
     }
 
     /// Kills a relay and starts it again at once.
@@ -150,7 +165,7 @@
     }
 
     /// Lets time pass, 5 ms at a time; `each` hands in what comes.
-    pub fn pass(&mut self, time: Duration, each: &mut dyn FnMut(&mut Fleet)) {
+    pub fn advance(&mut self, time: Duration, each: &mut dyn FnMut(&mut Fleet)) {
         let until = self.now + time;
         while self.now < until {
             self.now += ms(5);
@@ -159,7 +174,7 @@
             let (due, out) = std::mem::take(&mut self.out).into_iter().partition(|o| o.5 <= now);
             self.out = out;
             for (relay, flow, attempt, server, sent, _, outcome) in due {
-                self.partner.told(relay, outcome, now);
+                self.partner.record_outcome(relay, outcome, now);
                 let limit = Some(LimitReport { left: 0.3, rate: self.partner.rate });
                 let limit = limit.filter(|_| outcome == Outcome::Success);
                 self.relays[relay]
@@ -180,8 +195,8 @@
         for effect in self.relays[relay].step(now, None).unwrap() {
             match effect {
                 Effect::Call { flow, attempt, server, give_up_at, .. } => {
-                    let hears = self.partner.hears(relay, now);
-                    let (at, outcome) = match hears {
+                    let response = self.partner.respond(relay, now);
+                    let (at, outcome) = match response {
                         Some(outcome) if now + LATENCY < give_up_at => (now + LATENCY, outcome),
                         _ => (give_up_at, Outcome::TimedOut),
                     };
@@ -193,8 +208,8 @@
                     }
                 }
                 Effect::Probe(server) => {
-                    let outcome = self.partner.hears(relay, now).unwrap_or(Outcome::TimedOut);
-                    self.partner.told(relay, outcome, now);
+                    let outcome = self.partner.respond(relay, now).unwrap_or(Outcome::TimedOut);
+                    self.partner.record_outcome(relay, outcome, now);
                     self.relays[relay].core.probe_ended(server, outcome, None);
                 }
                 Effect::Ended(_, _, End::Delivered) => self.delivered += 1,
@@ -206,5 +221,5 @@
 }
 
 pub fn entries(servers: u32) -> Vec<EndpointInfo> {
-    (1..=servers).map(|id| crate::common::line(id, TO, 0, ListState::Live)).collect()
+    (1..=servers).map(|id| crate::common::entry(id, TO, 0, ListState::Live)).collect()
 }
--- a/tests/stage/mod.rs
+++ b/tests/cluster/mod.rs
@@ -2,11 +2,11 @@
 //! counts what reaches it. Time is the test's, and so is chance.
 #![allow(dead_code, missing_docs)]
 
-pub mod dice;
 mod fleet;
+pub mod rng;
 
 use crate::common::ms;
-pub use fleet::{Away, Fleet, Partner, WAYS};
+pub use fleet::{Fleet, OUTAGE_KINDS, OutageKind, Partner};
 use onyxstile::api::*;
 use onyxstile::core::wakes::Wakes;
 use onyxstile::core::{CallEnd, Core, Effect, End, FlowNo, FlowTerms, ServerNo};
@@ -19,7 +19,7 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::Duration;
 
-pub type Does = Effect<Rc<Parcel>>;
+pub type RelayEffect = Effect<Rc<Parcel>>;
 
 /// Where every clock begins.
 pub const START: Duration = Duration::from_secs(1_000_000);
@@ -58,7 +58,7 @@
 impl Relay {
     pub fn new(settings: &Settings, seed: u64, limit: u64, now: Duration) -> Relay {
         static LAST: AtomicU64 = AtomicU64::new(0);
-        let name = format!("onyxstile-stage-{}-{}", std::process::id(), LAST.fetch_add(1, Relaxed));
+        let name = format!("onyxstile-cluster-{}-{}", std::process::id(), LAST.fetch_add(1, Relaxed));
         let folder = std::env::temp_dir().join(name);
         let (journal, core) = (
             Journal::open(&folder, limit, Durability::Process).unwrap(),
@@ -80,10 +80,10 @@
     }
 
     /// Hands a flow in, if there is room.
-    pub fn offer(
+    pub fn submit(
         &mut self, class: usize, destination: DestinationId, deadline: Duration, now: Duration,
     ) -> Option<FlowNo> {
-        if !self.core.has_room(1) || !self.journal.has_room(1, 1024) {
+        if !self.core.has_capacity(1) || !self.journal.has_room(1, 1024) {
             return None;
         }
         let no = FlowNo(self.next);
@@ -105,7 +105,7 @@
             resend_of: None,
         };
         self.waiting.push((no, flow));
-        self.core.offer(no, terms(class, destination, deadline.saturating_sub(now)), parcel);
+        self.core.submit(no, terms(class, destination, deadline.saturating_sub(now)), parcel);
         Some(no)
     }
 
@@ -123,12 +123,12 @@
         self.core.call_ended(end);
     }
 
-    pub fn noticed(&mut self, flow: FlowNo) {
+    pub fn notice_delivered(&mut self, flow: FlowNo) {
         self.unwritten.push(Record::Noticed(flow));
     }
 
     /// Steps until nothing is left to do; what has to be done is in the journal first. None: it was killed.
-    pub fn step(&mut self, now: Duration, kill: Option<Kill>) -> Option<Vec<Does>> {
+    pub fn step(&mut self, now: Duration, kill: Option<Kill>) -> Option<Vec<RelayEffect>> {
         if self.wakes.take_due(now) {
             self.core.wake();
         }
@@ -139,7 +139,7 @@
             let mut records = std::mem::take(&mut self.unwritten);
             for effect in &effects {
                 match effect {
-                    Effect::Taken(no, _) => {
+                    Effect::Accepted(no, _) => {
                         let flow = self.waiting.iter().find(|w| w.0 == *no).unwrap().1.clone();
                         records.push(Record::Taken(*no, flow));
                     }
@@ -170,7 +170,7 @@
             if kill.is_some() {
                 return None;
             }
-            self.write_sights();
+            self.write_health_records();
             all.append(&mut effects);
             if !self.core.has_events() {
                 return Some(all);
@@ -179,21 +179,21 @@
     }
 
     /// Which endpoints are down or cold, and what limits are told, as `net::owner::sights` has it.
-    fn write_sights(&mut self) {
-        let ill = self.core.ailing().map(|no| no.0.to_string()).collect();
-        let told = self.core.told_limits().map(|(no, rate)| (no.0.to_string(), rate)).collect();
-        let records = self.journal.ledger().sights(&ill, &told);
+    fn write_health_records(&mut self) {
+        let unhealthy = self.core.unhealthy_endpoints().map(|no| no.0.to_string()).collect();
+        let limits = self.core.reported_limits().map(|(no, rate)| (no.0.to_string(), rate)).collect();
+        let records = self.journal.ledger().sights(&unhealthy, &limits);
         self.journal.write(&records).unwrap();
     }
 
     /// The next process takes over: it has the core as this one wrote it, and the journal as it is. False if not all is
     /// decided on.
     pub fn upgrade(&mut self) -> bool {
-        let Some(written) = self.core.written().filter(|_| self.unwritten.is_empty()) else { return false };
+        let Some(written) = self.core.snapshot().filter(|_| self.unwritten.is_empty()) else { return false };
         let bytes = state::write(&written).unwrap();
         let journal = Journal::beside(&self.folder, self.limit, self.journal.length()).unwrap();
         let parcel = |no: FlowNo| journal.ledger().open.get(&no).map(|(f, _)| f.parcel.clone());
-        self.core = Core::from_read(state::read(&bytes).unwrap(), self.settings.max_held, parcel).unwrap();
+        self.core = Core::restore(state::read(&bytes).unwrap(), self.settings.max_held, parcel).unwrap();
         self.journal = journal;
         true
     }
@@ -207,15 +207,15 @@
         self.wakes.add(now);
         self.waiting.clear();
         self.unwritten.clear();
-        self.core.take_entries(entries.clone(), true);
+        self.core.update_entries(entries.clone(), true);
         // What was down or cold is met as cold.
-        let ill = |e: &&EndpointInfo| self.journal.ledger().ill.contains(&e.id.0.to_string());
-        for entry in entries.iter().filter(ill) {
-            self.core.take_for_cold(entry.clone());
+        let unhealthy = |e: &&EndpointInfo| self.journal.ledger().ill.contains(&e.id.0.to_string());
+        for entry in entries.iter().filter(unhealthy) {
+            self.core.mark_cold(entry.clone());
         }
         for entry in &entries {
             if let Some(rate) = self.journal.ledger().limits.get(&entry.id.0.to_string()) {
-                self.core.know_limit(entry.id, *rate);
+                self.core.restore_limit(entry.id, *rate);
             }
         }
         let open: Vec<_> = self.journal.ledger().open.iter().map(|(no, f)| (*no, f.clone())).collect();
--- a/tests/stage/dice.rs
+++ b/tests/cluster/rng.rs
@@ -4,11 +4,11 @@
 use rand_pcg::Pcg32;
 
 /// Chance by a seed, which a failure prints.
-pub struct Dice(Pcg32, u64);
+pub struct TestRng(Pcg32, u64);
 
-impl Dice {
-    pub fn new(seed: u64) -> Dice {
-        Dice(Pcg32::seed_from_u64(seed), seed)
+impl TestRng {
+    pub fn new(seed: u64) -> TestRng {
+        TestRng(Pcg32::seed_from_u64(seed), seed)
     }
     pub fn below(&mut self, n: u64) -> u64 {
         self.0.next_u64() % n.max(1)
@@ -21,7 +21,7 @@
     }
 }
 
-impl Drop for Dice {
+impl Drop for TestRng {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!("seed {}", self.1);
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -6,17 +6,17 @@
 //! add up to a Poisson count, whose deviation is root of 0.8 N, so the bound lies at 0.2 N + 2 x root of N + 2 above the
 //! expectation: over three deviations for any N. Regular gaps only make it narrower.
 #![allow(missing_docs)]
+mod cluster;
 mod common;
-mod stage;
+use cluster::rng::TestRng;
+use cluster::{Fleet, OutageKind, Partner, START};
 use common::*;
 use onyxstile::api::*;
-use stage::dice::Dice;
-use stage::{Away, Fleet, Partner, START};
 use std::time::Duration;
 
 /// Who saw the outage, and what became of the processes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Seen {
+enum OutageView {
     /// All relays had messages for the partner while it was away.
     ByAll,
     /// Three in four had, and the others come to it cold.
@@ -27,18 +27,19 @@
     KilledInIt,
 }
 
-const SEEN: [Seen; 4] = [Seen::ByAll, Seen::ByMost, Seen::KilledAtItsEnd, Seen::KilledInIt];
+const OUTAGE_VIEWS: [OutageView; 4] =
+    [OutageView::ByAll, OutageView::ByMost, OutageView::KilledAtItsEnd, OutageView::KilledInIt];
 const OUTAGE: Duration = Duration::from_secs(9);
 const BEFORE: Duration = Duration::from_secs(6);
 
 /// The worst window after the return: calls in it over what it may hold; where two thirds came from relays that knew.
 fn worst(partner: &Partner, s: &Settings) -> (f64, f64) {
-    let (back, span) = (partner.away.1, s.overload_span);
+    let (back, span) = (partner.outage.1, s.overload_span);
     let after: Vec<_> = partner.arrivals.iter().filter(|a| a.0 >= back).collect();
     let window = |end: Duration| {
         let calls = after.iter().filter(|a| a.0 <= end && a.0 + span > end);
         let (all, knowing) =
-            calls.fold((0, 0), |(a, k), c| (a + 1, k + usize::from(partner.knew.contains(&c.1))));
+            calls.fold((0, 0), |(a, k), c| (a + 1, k + usize::from(partner.observers.contains(&c.1))));
         let n = s.overload_factor * partner.capacity(end) * span.as_secs_f64();
         if knowing * 3 >= all * 2 {
             (f64::from(all as u32) / (n + 2.0 * n.sqrt() + 2.0), n)
@@ -49,7 +50,7 @@
     after.iter().map(|a| window(a.0)).fold((0.0, 0.0), |a, b| if b.0 > a.0 { b } else { a })
 }
 
-fn play(senders: u32, rate: f64, how: Away, seen: Seen, seed: u64) -> (f64, f64, usize) {
+fn run_fleet(senders: u32, rate: f64, how: OutageKind, view: OutageView, seed: u64) -> (f64, f64, usize) {
     let s = Settings {
         senders,
         probes: seed.is_multiple_of(2),
@@ -60,31 +61,31 @@
         max_held: 100,
         ..settings()
     };
-    let mut dice = Dice::new(seed * 1000 + u64::from(senders));
+    let mut rng = TestRng::new(seed * 1000 + u64::from(senders));
     let (from, back) = (START + BEFORE, START + BEFORE + OUTAGE);
     let mut fleet = Fleet::new(&s, Partner::new(rate, &s, (from, back, how)), 2, seed);
     let mut killed = false;
-    fleet.pass(BEFORE + OUTAGE + ms(9000), &mut |f| {
+    fleet.advance(BEFORE + OUTAGE + ms(9000), &mut |f| {
         let away = (from..back).contains(&f.now);
         // A little more than it takes, so that messages wait at all relays when it is back.
-        let mut hands_in = rate * 1.2 * 0.005;
-        while hands_in > 0.0 && dice.below(1_000_000) < (hands_in.min(1.0) * 1e6) as u64 {
-            let relay = dice.below(u64::from(senders)) as usize;
-            if !(away && seen == Seen::ByMost && relay.is_multiple_of(4)) {
-                f.offer(relay, dice.pick(&[0, 0, 2]), ms(16_000));
+        let mut arrivals = rate * 1.2 * 0.005;
+        while arrivals > 0.0 && rng.below(1_000_000) < (arrivals.min(1.0) * 1e6) as u64 {
+            let relay = rng.below(u64::from(senders)) as usize;
+            if !(away && view == OutageView::ByMost && relay.is_multiple_of(4)) {
+                f.submit(relay, rng.pick(&[0, 0, 2]), ms(16_000));
             }
-            hands_in -= 1.0;
+            arrivals -= 1.0;
         }
-        let kill_at = match seen {
-            Seen::KilledAtItsEnd => back,
-            Seen::KilledInIt => from + OUTAGE / 2,
+        let kill_at = match view {
+            OutageView::KilledAtItsEnd => back,
+            OutageView::KilledInIt => from + OUTAGE / 2,
             _ => return,
         };
         if f.now >= kill_at && !std::mem::replace(&mut killed, true) {
             (0..senders as usize).for_each(|r| f.kill(r));
-            if seen == Seen::KilledInIt {
+            if view == OutageView::KilledInIt {
                 // What a process saw ends with it.
-                f.partner.knew.clear();
+                f.partner.observers.clear();
             }
         }
     });
@@ -98,19 +99,19 @@
     let mut table = Vec::new();
     for &relays in senders {
         for &rate in rates {
-            for seen in SEEN {
+            for view in OUTAGE_VIEWS {
                 for seed in seeds.clone() {
-                    let how = stage::WAYS[(seed % 5) as usize];
-                    let (most, n, tried) = play(relays, rate, how, seen, seed);
-                    table.push((most, relays, rate, seen, how, seed, n, tried));
+                    let how = cluster::OUTAGE_KINDS[(seed % 5) as usize];
+                    let (most, n, tried) = run_fleet(relays, rate, how, view, seed);
+                    table.push((most, relays, rate, view, how, seed, n, tried));
                 }
             }
         }
     }
     table.sort_by(|a, b| b.0.total_cmp(&a.0));
-    for (most, relays, rate, seen, how, seed, n, tried) in table.iter().take(12) {
+    for (most, relays, rate, view, how, seed, n, tried) in table.iter().take(12) {
         println!(
-            "{most:.2} of the bound: {relays} relays, {rate} a second, {seen:?}, {how:?}, seed {seed}, N {n:.1}, {tried} calls"
+            "{most:.2} of the bound: {relays} relays, {rate} a second, {view:?}, {how:?}, seed {seed}, N {n:.1}, {tried} calls"
         );
     }
     let tried: usize = table.iter().map(|t| t.7).sum();
@@ -139,7 +140,8 @@
 fn a_fleet_that_begins_anew_uses_its_budget_of_a_cold_partner() {
     let mut tried = 0;
     for (relays, seed) in [(20, 0), (20, 5), (30, 0), (30, 5), (50, 0)] {
-        let (most, _, calls) = play(relays, 16.0, Away::Refuses, Seen::KilledAtItsEnd, seed);
+        let (most, _, calls) =
+            run_fleet(relays, 16.0, OutageKind::ConnectionRefused, OutageView::KilledAtItsEnd, seed);
         println!("{relays} relays, seed {seed}: {calls} calls, {most:.2} of the bound");
         assert!(most <= 1.0, "{most}");
         tried += calls;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use onyxstile::api::*;
 use std::time::Duration;
 
-pub const D: DestinationId = DestinationId(7);
+pub const DESTINATION: DestinationId = DestinationId(7);
 
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -14,10 +14,10 @@
 /// Three classes (0 repeatable, 1 keyed and ordered, 2 once), two kinds (0 plain, 1 shared calls on routes apart).
 pub fn settings() -> Settings {
     let class = |effect, ordered| ClassSettings {
-        aim: ms(2000),
+        target_latency: ms(2000),
         deadline: ms(16_000),
-        worth: 1.0,
-        late_worth: 0.3,
+        utility: 1.0,
+        late_utility: 0.3,
         effect,
         ordered,
     };
@@ -28,12 +28,12 @@
             class(Effect::Once, false),
         ],
         kinds: vec![
-            KindSettings { per_call: 1, routes_apart: false },
-            KindSettings { per_call: 5, routes_apart: true },
+            KindSettings { per_call: 1, independent_routes: false },
+            KindSettings { per_call: 5, independent_routes: true },
         ],
         tenants: vec![],
-        over_share_worth: 0.1,
-        late: LateWorth::Line,
+        over_quota_weight: 0.1,
+        utility_decay: UtilityDecay::Linear,
         rate_source: RateSource::None,
         senders: 2,
         handshake_cost: 0.04,
@@ -43,7 +43,7 @@
         probes: false,
         cancelling: true,
         ask_for_list: false,
-        must_ask_within: ms(10_000),
+        max_list_age: ms(10_000),
         max_client_wait: ms(2000),
         tick: ms(5),
         connect_timeout: ms(1000),
@@ -52,39 +52,40 @@
         cold_time: ms(10_000),
         overload_factor: 2.0,
         overload_span: ms(3000),
-        key_rest: ms(0),
+        key_cooldown: ms(0),
     }
 }
 
-pub fn line(id: u32, destination: DestinationId, kind: usize, state: ListState) -> EndpointInfo {
+pub fn entry(id: u32, destination: DestinationId, kind: usize, state: ListState) -> EndpointInfo {
     let zone = ZoneId(id as usize % 2);
     EndpointInfo { id: EndpointId(id), destination, kind: KindId(kind), zone, state, rate: 0.0 }
 }
 
-pub struct Bed {
-    pub c: Controller,
+pub struct ControllerHarness {
+    pub controller: Controller,
     pub now: Duration,
     pub next: u64,
 }
 
 pub type Sent = (MessageId, EndpointId);
 
-impl Bed {
-    pub fn new(settings: Settings, endpoints: &[u32]) -> Bed {
+impl ControllerHarness {
+    pub fn new(settings: Settings, endpoints: &[u32]) -> ControllerHarness {
         let now = ms(1_000_000);
-        let mut bed = Bed { c: Controller::new(settings, 1, now).unwrap(), now, next: 0 };
-        let list = endpoints.iter().map(|id| line(*id, D, 0, ListState::Live)).collect();
-        bed.step(vec![Event::ListReplaced(list)]);
-        bed
+        let mut harness =
+            ControllerHarness { controller: Controller::new(settings, 1, now).unwrap(), now, next: 0 };
+        let list = endpoints.iter().map(|id| entry(*id, DESTINATION, 0, ListState::Live)).collect();
+        harness.step(vec![Event::ListReplaced(list)]);
+        harness
     }
 
     pub fn step(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.c.step(self.now, &events, &mut actions);
+        self.controller.step(self.now, &events, &mut actions);
         actions
     }
 
-    pub fn order(&mut self, class: usize, key: Option<u64>) -> (MessageId, Event) {
+    pub fn new_message(&mut self, class: usize, key: Option<u64>) -> (MessageId, Event) {
         self.next += 1;
         let id = MessageId(self.next);
         let key = key.map(OrderKey);
@@ -96,26 +97,26 @@
                 class: ClassId(class),
                 tenant: None,
                 key,
-                destination: D,
+                destination: DESTINATION,
                 remaining,
                 past: Past::default(),
             }),
         )
     }
 
-    pub fn message(&mut self, class: usize, key: Option<u64>) -> (MessageId, Vec<Action>) {
-        let (id, event) = self.order(class, key);
+    pub fn submit(&mut self, class: usize, key: Option<u64>) -> (MessageId, Vec<Action>) {
+        let (id, event) = self.new_message(class, key);
         (id, self.step(vec![event]))
     }
 
     pub fn outcome(
         &mut self, id: MessageId, attempt: u32, endpoint: EndpointId, outcome: Outcome,
     ) -> Vec<Action> {
-        self.reported(id, attempt, endpoint, outcome, None)
+        self.outcome_with_limit(id, attempt, endpoint, outcome, None)
     }
 
     /// An outcome whose answer tells of a limit, or not.
-    pub fn reported(
+    pub fn outcome_with_limit(
         &mut self, id: MessageId, attempt: u32, endpoint: EndpointId, outcome: Outcome,
         limit: Option<LimitReport>,
     ) -> Vec<Action> {
@@ -133,7 +134,7 @@
     }
 
     /// Lets time pass in ticks and gathers what is done meanwhile, with the clock of each action.
-    pub fn pass(&mut self, time: Duration) -> Vec<(Duration, Action)> {
+    pub fn advance(&mut self, time: Duration) -> Vec<(Duration, Action)> {
         let end = self.now + time;
         let mut all = Vec::new();
         while self.now < end {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -11,12 +11,12 @@
 /// Calls that are never answered: sends stop long before the first time-out.
 #[test]
 fn silence_holds_an_endpoint_before_the_time_out() {
-    let mut bed = Bed::new(settings(), &[1]);
-    bed.message(2, None);
-    bed.pass(ms(1100));
+    let mut harness = ControllerHarness::new(settings(), &[1]);
+    harness.submit(2, None);
+    harness.advance(ms(1100));
     let mut sent = 0;
     for _ in 0..5 {
-        let (_, actions) = bed.message(2, None);
+        let (_, actions) = harness.submit(2, None);
         sent += sends(&actions).len();
     }
     assert_eq!(sent, 0, "one-try messages went into silence");
@@ -27,65 +27,65 @@
 fn silent_calls_give_their_slots_up() {
     let mut s = settings();
     s.max_calls = 2;
-    let mut bed = Bed::new(s, &[1]);
+    let mut harness = ControllerHarness::new(s, &[1]);
     let other = DestinationId(8);
-    bed.step(vec![Event::ListUpdate(vec![line(5, other, 0, ListState::Live)])]);
-    bed.message(2, None);
-    bed.pass(ms(5));
-    bed.message(2, None);
-    bed.pass(ms(1500));
-    let (_, mut event) = bed.order(0, None);
+    harness.step(vec![Event::ListUpdate(vec![entry(5, other, 0, ListState::Live)])]);
+    harness.submit(2, None);
+    harness.advance(ms(5));
+    harness.submit(2, None);
+    harness.advance(ms(1500));
+    let (_, mut event) = harness.new_message(0, None);
     if let Event::Message(m) = &mut event {
         m.destination = other;
     }
-    bed.step(vec![event]);
-    let later = bed.pass(ms(3000));
+    harness.step(vec![event]);
+    let later = harness.advance(ms(3000));
     assert!(cancels(&later) >= 1 || timed_sends(&later).iter().any(|s| s.2 == EndpointId(5)));
 }
 
 /// A shut that tells its end: no rush at the opening, by any endpoint of the destination.
 #[test]
 fn the_end_of_a_told_shut_is_met_with_the_cold_budget() {
-    let mut bed = Bed::new(settings(), &[1, 2]);
-    let (id, actions) = bed.message(0, None);
-    bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: Some(ms(6000)) });
-    let orders: Vec<Event> = (0..10).map(|_| bed.order(0, None).1).collect();
-    assert!(sends(&bed.step(orders)).is_empty());
-    let opening = timed_sends(&bed.pass(ms(8000))).len();
+    let mut harness = ControllerHarness::new(settings(), &[1, 2]);
+    let (id, actions) = harness.submit(0, None);
+    harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: Some(ms(6000)) });
+    let orders: Vec<Event> = (0..10).map(|_| harness.new_message(0, None).1).collect();
+    assert!(sends(&harness.step(orders)).is_empty());
+    let opening = timed_sends(&harness.advance(ms(8000))).len();
     assert!(opening <= 2, "{opening} calls at the opening, one for each endpoint at most");
-    assert!(!timed_sends(&bed.pass(ms(8000))).is_empty(), "never tried after the shut");
+    assert!(!timed_sends(&harness.advance(ms(8000))).is_empty(), "never tried after the shut");
 }
 
 /// Resets among successes are no outage.
 #[test]
 fn single_resets_do_not_close_an_endpoint() {
-    let mut bed = Bed::new(settings(), &[1]);
+    let mut harness = ControllerHarness::new(settings(), &[1]);
     for n in 0..12 {
-        let (id, actions) = bed.message(0, None);
+        let (id, actions) = harness.submit(0, None);
         let sent = sends(&actions);
         let Some((_, endpoint)) = sent.iter().find(|s| s.0 == id) else { panic!("held back at {n}") };
         let outcome = if n % 4 == 3 { Outcome::Broken } else { Outcome::Success };
-        bed.outcome(id, 0, *endpoint, outcome);
+        harness.outcome(id, 0, *endpoint, outcome);
     }
 }
 
 /// Where calls get lost beside answered ones, a message with one try goes elsewhere.
 #[test]
 fn one_try_messages_avoid_an_endpoint_that_loses_calls() {
-    let mut bed = Bed::new(settings(), &[2]);
+    let mut harness = ControllerHarness::new(settings(), &[2]);
     for _ in 0..3 {
-        let (lost, actions) = bed.message(0, None);
+        let (lost, actions) = harness.submit(0, None);
         let endpoint = sends(&actions)[0].1;
-        bed.now += ms(50);
-        let (good, actions) = bed.message(0, None);
-        bed.now += ms(50);
-        bed.outcome(good, 0, sends(&actions)[0].1, Outcome::Success);
-        bed.outcome(lost, 0, endpoint, Outcome::TimedOut);
-        bed.step(vec![Event::Withdrawn(lost)]);
+        harness.now += ms(50);
+        let (good, actions) = harness.submit(0, None);
+        harness.now += ms(50);
+        harness.outcome(good, 0, sends(&actions)[0].1, Outcome::Success);
+        harness.outcome(lost, 0, endpoint, Outcome::TimedOut);
+        harness.step(vec![Event::Withdrawn(lost)]);
     }
-    let (_, actions) = bed.message(2, None);
+    let (_, actions) = harness.submit(2, None);
     assert!(sends(&actions).is_empty(), "sent where half of the calls are lost");
-    let (_, actions) = bed.message(0, None);
+    let (_, actions) = harness.submit(0, None);
     assert_eq!(sends(&actions).len(), 1, "other messages still go");
 }
 
@@ -98,19 +98,19 @@
     s.senders = 60;
     s.rate_source = RateSource::Nominal;
     let rate = 6.0;
-    let listed = |id| EndpointInfo { rate, ..line(id, D, 0, ListState::Live) };
+    let listed = |id| EndpointInfo { rate, ..entry(id, DESTINATION, 0, ListState::Live) };
     let mut calls = Vec::new();
     for seed in 0..u64::from(s.senders) {
-        let mut bed = Bed::new(s.clone(), &[]);
-        bed.c = onyxstile::Controller::new(s.clone(), seed, bed.now).unwrap();
-        bed.step(vec![Event::ListReplaced(vec![listed(1)])]);
-        let (id, actions) = bed.message(0, None);
-        bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: Some(ms(6000)) });
-        bed.pass(ms(3000));
-        bed.step(vec![Event::ListUpdate(vec![listed(2)])]);
-        bed.message(0, None);
-        assert!(timed_sends(&bed.pass(ms(2990))).is_empty(), "sent during the wait");
-        calls.extend(timed_sends(&bed.pass(ms(3000))).into_iter().map(|s| s.0));
+        let mut harness = ControllerHarness::new(s.clone(), &[]);
+        harness.controller = onyxstile::Controller::new(s.clone(), seed, harness.now).unwrap();
+        harness.step(vec![Event::ListReplaced(vec![listed(1)])]);
+        let (id, actions) = harness.submit(0, None);
+        harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: Some(ms(6000)) });
+        harness.advance(ms(3000));
+        harness.step(vec![Event::ListUpdate(vec![listed(2)])]);
+        harness.submit(0, None);
+        assert!(timed_sends(&harness.advance(ms(2990))).is_empty(), "sent during the wait");
+        calls.extend(timed_sends(&harness.advance(ms(3000))).into_iter().map(|s| s.0));
     }
     let allowance = s.overload_factor * s.start_capacity * rate * s.overload_span.as_secs_f64();
     assert!(calls.len() as f64 <= allowance, "{} calls in a span, {allowance} allowed", calls.len());
@@ -122,33 +122,36 @@
     let mut s = settings();
     s.senders = 60;
     s.rate_source = RateSource::Nominal;
-    let mut bed = Bed::new(s, &[]);
-    bed.step(vec![Event::ListReplaced(vec![EndpointInfo { rate: 12.0, ..line(1, D, 0, ListState::Live) }])]);
-    let (id, actions) = bed.message(0, None);
-    bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: None });
-    assert!(timed_sends(&bed.pass(ms(1500))).is_empty(), "a retry at once feeds the overload");
-    assert!(!timed_sends(&bed.pass(ms(14_000))).is_empty(), "never tried again");
+    let mut harness = ControllerHarness::new(s, &[]);
+    harness.step(vec![Event::ListReplaced(vec![EndpointInfo {
+        rate: 12.0,
+        ..entry(1, DESTINATION, 0, ListState::Live)
+    }])]);
+    let (id, actions) = harness.submit(0, None);
+    harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: None });
+    assert!(timed_sends(&harness.advance(ms(1500))).is_empty(), "a retry at once feeds the overload");
+    assert!(!timed_sends(&harness.advance(ms(14_000))).is_empty(), "never tried again");
 }
 
 /// Refused connections beside served ones mean a full table: idle connections are given back.
 #[test]
 fn idle_connections_are_released_where_connections_are_refused() {
     let released = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Release(_)));
-    let mut bed = Bed::new(settings(), &[1]);
-    bed.pass(ms(20));
-    let (id, actions) = bed.message(0, None);
-    let end = bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
+    let mut harness = ControllerHarness::new(settings(), &[1]);
+    harness.advance(ms(20));
+    let (id, actions) = harness.submit(0, None);
+    let end = harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
     assert!(released(&end), "a kind not known yet is spared");
-    bed.pass(ms(11_000));
-    let (id, actions) = bed.message(0, None);
-    let end = bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
+    harness.advance(ms(11_000));
+    let (id, actions) = harness.submit(0, None);
+    let end = harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
     assert!(!released(&end), "kept where none was refused for an idle time");
-    let (id, actions) = bed.message(0, None);
-    bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Unreachable);
-    bed.step(vec![Event::Withdrawn(id)]);
-    bed.pass(ms(1500));
-    let (id, actions) = bed.message(0, None);
-    let end = bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
+    let (id, actions) = harness.submit(0, None);
+    harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Unreachable);
+    harness.step(vec![Event::Withdrawn(id)]);
+    harness.advance(ms(1500));
+    let (id, actions) = harness.submit(0, None);
+    let end = harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
     assert!(released(&end), "given back after a refused connection");
 }
 
@@ -157,19 +160,19 @@
 #[test]
 fn idle_connections_are_released_where_a_fresh_one_is_refused_with_no_word_of_the_limit() {
     for (reports, says, expected) in [(true, false, true), (true, true, false), (false, false, false)] {
-        let mut bed = Bed::new(settings(), &[1]);
+        let mut harness = ControllerHarness::new(settings(), &[1]);
         let report = Some(LimitReport { left: 0.5, rate: 20.0 });
-        let call = |bed: &mut Bed, outcome, limit: Option<LimitReport>| {
-            bed.pass(ms(11_000));
-            let (id, actions) = bed.message(0, None);
-            let actions = bed.reported(id, 0, sends(&actions)[0].1, outcome, limit);
-            bed.step(vec![Event::Withdrawn(id)]);
+        let call = |harness: &mut ControllerHarness, outcome, limit: Option<LimitReport>| {
+            harness.advance(ms(11_000));
+            let (id, actions) = harness.submit(0, None);
+            let actions = harness.outcome_with_limit(id, 0, sends(&actions)[0].1, outcome, limit);
+            harness.step(vec![Event::Withdrawn(id)]);
             actions.iter().any(|a| matches!(a, Action::Release(_)))
         };
-        call(&mut bed, Outcome::Success, report.filter(|_| reports));
-        assert!(!call(&mut bed, Outcome::Success, report.filter(|_| reports)), "kept at first");
-        call(&mut bed, Outcome::Overloaded { wait: None }, report.filter(|_| says));
-        let released = call(&mut bed, Outcome::Success, report.filter(|_| reports));
+        call(&mut harness, Outcome::Success, report.filter(|_| reports));
+        assert!(!call(&mut harness, Outcome::Success, report.filter(|_| reports)), "kept at first");
+        call(&mut harness, Outcome::Overloaded { wait: None }, report.filter(|_| says));
+        let released = call(&mut harness, Outcome::Success, report.filter(|_| reports));
         assert_eq!(released, expected, "reports {reports}, this refusal {says}");
     }
 }
@@ -177,18 +180,18 @@
 /// A message that is held is looked at before its time is up, however short the rest is.
 #[test]
 fn a_held_message_is_answered_in_its_time() {
-    let mut bed = Bed::new(settings(), &[]);
-    let (id, actions) = bed.message(0, None);
-    let deadline = bed.now + ms(16_000);
+    let mut harness = ControllerHarness::new(settings(), &[]);
+    let (id, actions) = harness.submit(0, None);
+    let deadline = harness.now + ms(16_000);
     let mut wake = actions;
     loop {
         let after = wake.iter().find_map(|a| match a {
             Action::Wake { after, .. } => Some(*after),
             _ => None,
         });
-        bed.now += after.expect("a held message needs a timer");
-        assert!(bed.now <= deadline, "woken too late");
-        wake = bed.step(vec![Event::Wake(0)]);
+        harness.now += after.expect("a held message needs a timer");
+        assert!(harness.now <= deadline, "woken too late");
+        wake = harness.step(vec![Event::Wake(0)]);
         if wake.contains(&Action::Refuse { id, wait: ms(2000) }) {
             break;
         }
@@ -203,14 +206,14 @@
         for gone in [false, true] {
             let mut s = settings();
             s.senders = 60;
-            let mut bed = Bed::new(s, &[1]);
-            let (id, actions) = bed.message(0, None);
-            bed.outcome(id, 0, sends(&actions)[0].1, outcome);
+            let mut harness = ControllerHarness::new(s, &[1]);
+            let (id, actions) = harness.submit(0, None);
+            harness.outcome(id, 0, sends(&actions)[0].1, outcome);
             let state = if gone { ListState::Gone } else { ListState::Live };
-            let lines = vec![line(1, D, 0, state), line(2, D, 0, ListState::Live)];
-            bed.step(vec![Event::ListUpdate(lines)]);
-            let orders: Vec<Event> = (0..10).map(|_| bed.order(0, None).1).collect();
-            let at_once = sends(&bed.step(orders)).iter().filter(|s| s.1 == EndpointId(2)).count();
+            let lines = vec![entry(1, DESTINATION, 0, state), entry(2, DESTINATION, 0, ListState::Live)];
+            harness.step(vec![Event::ListUpdate(lines)]);
+            let orders: Vec<Event> = (0..10).map(|_| harness.new_message(0, None).1).collect();
+            let at_once = sends(&harness.step(orders)).iter().filter(|s| s.1 == EndpointId(2)).count();
             assert_eq!(at_once, 0, "a rush on a new endpoint after {outcome:?}, old one gone: {gone}");
         }
     }
@@ -220,42 +223,42 @@
 /// endpoint, and from then on idle connections are closed before use, everywhere.
 #[test]
 fn an_overdue_call_on_an_idle_connection_puts_connections_in_doubt_and_not_the_endpoint() {
-    let mut bed = Bed::new(settings(), &[1]);
+    let mut harness = ControllerHarness::new(settings(), &[1]);
     let other = DestinationId(8);
-    bed.step(vec![Event::ListUpdate(vec![line(5, other, 0, ListState::Live)])]);
-    let to = |bed: &mut Bed, destination| {
-        let (id, mut event) = bed.order(0, None);
+    harness.step(vec![Event::ListUpdate(vec![entry(5, other, 0, ListState::Live)])]);
+    let to = |harness: &mut ControllerHarness, destination| {
+        let (id, mut event) = harness.new_message(0, None);
         if let Event::Message(m) = &mut event {
             m.destination = destination;
         }
-        (id, bed.step(vec![event]))
+        (id, harness.step(vec![event]))
     };
     // A kind not known yet is spared of idle connections; after that one is kept to each.
     for wait in [ms(11_000), ms(4000)] {
-        for destination in [D, other] {
-            let (id, actions) = to(&mut bed, destination);
-            bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
+        for destination in [DESTINATION, other] {
+            let (id, actions) = to(&mut harness, destination);
+            harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
         }
-        bed.pass(wait);
+        harness.advance(wait);
     }
-    let (first, actions) = to(&mut bed, D);
+    let (first, actions) = to(&mut harness, DESTINATION);
     assert!(!actions.contains(&Action::Release(EndpointId(1))), "no doubt yet");
-    bed.pass(ms(1100));
-    let (second, actions) = to(&mut bed, D);
+    harness.advance(ms(1100));
+    let (second, actions) = to(&mut harness, DESTINATION);
     assert_eq!(sends(&actions), [(second, EndpointId(1))], "held as if the endpoint were silent");
-    let (_, actions) = to(&mut bed, other);
+    let (_, actions) = to(&mut harness, other);
     let at = actions.iter().position(|a| *a == Action::Release(EndpointId(5)));
     let sent = actions.iter().position(|a| matches!(a, Action::Send { .. }));
     assert!(at.is_some() && at < sent, "an idle connection is used in doubt: {actions:?}");
     // A fresh one is answered: the doubt was right, and the lost call is not waited for.
-    let actions = bed.outcome(second, 0, EndpointId(1), Outcome::Success);
+    let actions = harness.outcome(second, 0, EndpointId(1), Outcome::Success);
     assert!(actions.contains(&Action::Cancel { id: first, attempt: 0 }), "the lost call holds its slot");
-    bed.outcome(first, 0, EndpointId(1), Outcome::Withdrawn);
+    harness.outcome(first, 0, EndpointId(1), Outcome::Withdrawn);
     // Without a second connection to tell by, silence is silence.
-    let (_, actions) = to(&mut bed, D);
+    let (_, actions) = to(&mut harness, DESTINATION);
     assert_eq!(sends(&actions).len(), 1);
-    bed.pass(ms(1500));
-    assert!(sends(&to(&mut bed, D).1).is_empty(), "a silent endpoint is held");
+    harness.advance(ms(1500));
+    assert!(sends(&to(&mut harness, DESTINATION).1).is_empty(), "a silent endpoint is held");
 }
 
 /// A refused message goes again at its sender's part of the limit and never at once, however few are refused elsewhere: a
@@ -267,28 +270,28 @@
         let mut s = settings();
         s.senders = 60;
         s.rate_source = RateSource::Nominal;
-        let mut bed = Bed::new(s, &[]);
+        let mut harness = ControllerHarness::new(s, &[]);
         let listed =
-            |id, destination| EndpointInfo { rate: 12.0, ..line(id, destination, 0, ListState::Live) };
+            |id, destination| EndpointInfo { rate: 12.0, ..entry(id, destination, 0, ListState::Live) };
         // What is seen at other destinations tells of the day.
         let other = |n: u32| DestinationId(100 + u64::from(n));
         let mut list: Vec<_> = (0..120).map(|n| listed(100 + n, other(n))).collect();
-        list.push(listed(1, D));
-        bed.step(vec![Event::ListReplaced(list)]);
+        list.push(listed(1, DESTINATION));
+        harness.step(vec![Event::ListReplaced(list)]);
         for n in 0..120 {
-            let (id, mut event) = bed.order(0, None);
+            let (id, mut event) = harness.new_message(0, None);
             if let Event::Message(m) = &mut event {
                 m.destination = other(n);
             }
-            bed.step(vec![event]);
+            harness.step(vec![event]);
             let outcome = if n < refused { Outcome::Overloaded { wait: None } } else { Outcome::Success };
-            bed.outcome(id, 0, EndpointId(100 + n), outcome);
-            bed.step(vec![Event::Withdrawn(id)]);
+            harness.outcome(id, 0, EndpointId(100 + n), outcome);
+            harness.step(vec![Event::Withdrawn(id)]);
         }
-        let (id, actions) = bed.message(0, None);
-        bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: None });
-        assert!(timed_sends(&bed.pass(ms(450))).is_empty(), "a retry at once feeds the overload");
-        soon.push(timed_sends(&bed.pass(ms(4000))).len());
+        let (id, actions) = harness.submit(0, None);
+        harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: None });
+        assert!(timed_sends(&harness.advance(ms(450))).is_empty(), "a retry at once feeds the overload");
+        soon.push(timed_sends(&harness.advance(ms(4000))).len());
     }
     assert_eq!(soon, [0, 0]);
 }
@@ -300,11 +303,14 @@
     let mut s = settings();
     s.senders = 60;
     s.rate_source = RateSource::Nominal;
-    let mut bed = Bed::new(s, &[]);
-    bed.step(vec![Event::ListReplaced(vec![EndpointInfo { rate: 12.0, ..line(1, D, 0, ListState::Live) }])]);
-    let (id, actions) = bed.message(0, None);
-    bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: None });
-    let (_, actions) = bed.message(0, None);
+    let mut harness = ControllerHarness::new(s, &[]);
+    harness.step(vec![Event::ListReplaced(vec![EndpointInfo {
+        rate: 12.0,
+        ..entry(1, DESTINATION, 0, ListState::Live)
+    }])]);
+    let (id, actions) = harness.submit(0, None);
+    harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: None });
+    let (_, actions) = harness.submit(0, None);
     assert!(sends(&actions).is_empty(), "nothing is known of the day: as if it refused many");
 }
 
@@ -314,44 +320,44 @@
 fn where_answers_get_lost_slots_go_to_messages_that_wait() {
     let mut s = settings();
     s.max_calls = 4;
-    let mut bed = Bed::new(s, &[1, 2]);
+    let mut harness = ControllerHarness::new(s, &[1, 2]);
     for _ in 0..30 {
-        let (id, actions) = bed.message(2, None);
-        bed.pass(ms(50));
-        bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
+        let (id, actions) = harness.submit(2, None);
+        harness.advance(ms(50));
+        harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
     }
-    let lost: Vec<_> = (0..4).map(|_| bed.message(2, None).0).collect();
-    bed.message(2, None);
-    let cancelled = cancels(&bed.pass(ms(700)));
+    let lost: Vec<_> = (0..4).map(|_| harness.submit(2, None).0).collect();
+    harness.submit(2, None);
+    let cancelled = cancels(&harness.advance(ms(700)));
     assert!(cancelled >= 1, "{cancelled} of {} given up", lost.len());
 }
 
 /// A message that may go again is tried again within its aim when its answer is lost.
 #[test]
 fn a_call_that_may_be_repeated_times_out_within_the_aim() {
-    let mut bed = Bed::new(settings(), &[1]);
-    let (_, actions) = bed.message(0, None);
+    let mut harness = ControllerHarness::new(settings(), &[1]);
+    let (_, actions) = harness.submit(0, None);
     let limit =
-        |a: &Action| matches!(a, Action::Send { give_up_at, .. } if *give_up_at <= bed.now + ms(1200));
+        |a: &Action| matches!(a, Action::Send { give_up_at, .. } if *give_up_at <= harness.now + ms(1200));
     assert!(actions.iter().any(limit), "{actions:?}");
 }
 
 /// Endpoints that come and go all day leave nothing behind.
 #[test]
 fn an_endpoint_long_gone_is_forgotten() {
-    let mut bed = Bed::new(settings(), &[1]);
-    let (id, actions) = bed.message(2, None);
-    bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
+    let mut harness = ControllerHarness::new(settings(), &[1]);
+    let (id, actions) = harness.submit(2, None);
+    harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
     for new in 2..6 {
-        bed.step(vec![Event::ListUpdate(vec![
-            line(new - 1, D, 0, ListState::Gone),
-            line(new, D, 0, ListState::Live),
+        harness.step(vec![Event::ListUpdate(vec![
+            entry(new - 1, DESTINATION, 0, ListState::Gone),
+            entry(new, DESTINATION, 0, ListState::Live),
         ])]);
-        bed.pass(ms(8000));
+        harness.advance(ms(8000));
     }
-    let state = format!("{:?}", bed.c);
+    let state = format!("{:?}", harness.controller);
     assert!(!state.contains("EndpointId(1)") && state.contains("EndpointId(5)"), "{state}");
-    assert_eq!(sends(&bed.message(2, None).1)[0].1, EndpointId(5));
+    assert_eq!(sends(&harness.submit(2, None).1)[0].1, EndpointId(5));
 }
 
 /// Calls given up early for their slots tell of a hang all the same: nothing more with one try goes there.
@@ -359,19 +365,19 @@
 fn calls_given_up_for_their_slots_make_a_silent_endpoint_suspect() {
     let mut s = settings();
     (s.max_calls, s.probes) = (4, true);
-    let mut bed = Bed::new(s, &[1]);
+    let mut harness = ControllerHarness::new(s, &[1]);
     for _ in 0..30 {
-        let (id, actions) = bed.message(2, None);
-        bed.pass(ms(50));
-        bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
+        let (id, actions) = harness.submit(2, None);
+        harness.advance(ms(50));
+        harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
     }
-    let lost: Vec<_> = (0..8).map(|_| bed.message(2, None).0).collect();
+    let lost: Vec<_> = (0..8).map(|_| harness.submit(2, None).0).collect();
     let mut later = Vec::new();
     for _ in 0..14 {
-        let passed = bed.pass(ms(50));
+        let passed = harness.advance(ms(50));
         for (at, a) in passed {
             if let Action::Cancel { id, attempt } = &a {
-                let then = bed.outcome(*id, *attempt, EndpointId(1), Outcome::Withdrawn);
+                let then = harness.outcome(*id, *attempt, EndpointId(1), Outcome::Withdrawn);
                 later.extend(then.into_iter().map(|a| (at, a)));
             }
             later.push((at, a));
@@ -386,39 +392,39 @@
 fn an_answered_probe_lets_one_message_try() {
     let mut s = settings();
     s.probes = true;
-    let mut bed = Bed::new(s, &[1]);
-    bed.message(0, None);
-    bed.pass(ms(1100));
+    let mut harness = ControllerHarness::new(s, &[1]);
+    harness.submit(0, None);
+    harness.advance(ms(1100));
     for _ in 0..6 {
-        bed.message(2, None);
+        harness.submit(2, None);
     }
-    let probed = |bed: &mut Bed| {
+    let probed = |harness: &mut ControllerHarness| {
         let (endpoint, outcome) = (EndpointId(1), Outcome::Success);
-        sends(&bed.step(vec![Event::Probed { endpoint, outcome, limit: None }]))
+        sends(&harness.step(vec![Event::Probed { endpoint, outcome, limit: None }]))
     };
-    let first = probed(&mut bed);
+    let first = probed(&mut harness);
     assert_eq!(first.len(), 1, "{first:?}");
-    assert!(timed_sends(&bed.pass(ms(500))).is_empty());
+    assert!(timed_sends(&harness.advance(ms(500))).is_empty());
     // Its answer is what shows that the endpoint serves.
-    assert_eq!(sends(&bed.outcome(first[0].0, 0, EndpointId(1), Outcome::Success)).len(), 5);
+    assert_eq!(sends(&harness.outcome(first[0].0, 0, EndpointId(1), Outcome::Success)).len(), 5);
 }
 
 /// Connections that were gone before the call tell nothing of the endpoint.
 #[test]
 fn breaks_at_once_on_idle_connections_do_not_close_an_endpoint() {
-    let mut bed = Bed::new(settings(), &[1]);
-    let (id, actions) = bed.message(2, None);
-    bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
+    let mut harness = ControllerHarness::new(settings(), &[1]);
+    let (id, actions) = harness.submit(2, None);
+    harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
     // Until then idle connections of a kind not known yet are given back.
-    bed.pass(ms(11_000));
+    harness.advance(ms(11_000));
     for _ in 0..6 {
         for outcome in [Outcome::Success, Outcome::Broken] {
-            let (id, actions) = bed.message(2, None);
+            let (id, actions) = harness.submit(2, None);
             let endpoint = sends(&actions).first().expect("held").1;
             let (elapsed, terminal) = (ms(1), outcome == Outcome::Success);
             let end = AttemptEnd { id, attempt: 0, endpoint, outcome, elapsed, terminal, limit: None };
-            bed.step(vec![Event::Outcome(end)]);
-            bed.pass(ms(20));
+            harness.step(vec![Event::Outcome(end)]);
+            harness.advance(ms(20));
         }
     }
 }
@@ -427,20 +433,20 @@
 /// because of what failed before.
 #[test]
 fn a_one_try_message_goes_to_an_endpoint_that_is_back() {
-    let mut bed = Bed::new(settings(), &[1]);
-    let (id, actions) = bed.message(0, None);
+    let mut harness = ControllerHarness::new(settings(), &[1]);
+    let (id, actions) = harness.submit(0, None);
     let mut sent = sends(&actions);
     for attempt in 0..4 {
-        bed.outcome(id, attempt, sent[0].1, Outcome::Unreachable);
+        harness.outcome(id, attempt, sent[0].1, Outcome::Unreachable);
         sent.clear();
         while sent.is_empty() {
-            sent = timed_sends(&bed.pass(ms(100))).iter().map(|s| (s.1, s.2)).collect();
+            sent = timed_sends(&harness.advance(ms(100))).iter().map(|s| (s.1, s.2)).collect();
         }
     }
     // Held to be down: its next trial is answered.
-    bed.outcome(id, 4, sent[0].1, Outcome::Success);
-    let (id, actions) = bed.message(2, None);
-    let later = bed.pass(ms(4000));
+    harness.outcome(id, 4, sent[0].1, Outcome::Success);
+    let (id, actions) = harness.submit(2, None);
+    let later = harness.advance(ms(4000));
     let gone = sends(&actions).iter().any(|s| s.0 == id) || timed_sends(&later).iter().any(|s| s.1 == id);
     assert!(gone, "held for what failed before the endpoint was back");
 }
@@ -449,18 +455,20 @@
 /// that a cold start takes. It was forgotten with all else that was known of what is gone.
 #[test]
 fn a_wait_outlives_its_route_s_absence_from_the_list() {
-    let mut bed = Bed::new(Settings { cold_time: ms(0), overload_span: ms(100), ..settings() }, &[]);
-    let route = |state| vec![Event::ListUpdate(vec![line(1, D, 1, state)])];
-    bed.step(route(ListState::Live));
-    let (id, actions) = bed.message(0, None);
-    bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: Some(ms(3000)) });
-    bed.step(route(ListState::Gone));
-    bed.pass(ms(500));
+    let mut harness =
+        ControllerHarness::new(Settings { cold_time: ms(0), overload_span: ms(100), ..settings() }, &[]);
+    let route = |state| vec![Event::ListUpdate(vec![entry(1, DESTINATION, 1, state)])];
+    harness.step(route(ListState::Live));
+    let (id, actions) = harness.submit(0, None);
+    harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: Some(ms(3000)) });
+    harness.step(route(ListState::Gone));
+    harness.advance(ms(500));
     // Any news of the list lets go of what is long gone.
-    bed.step(vec![Event::ListUpdate(vec![])]);
-    let back = sends(&bed.step(route(ListState::Live))).len() + timed_sends(&bed.pass(ms(2400))).len();
+    harness.step(vec![Event::ListUpdate(vec![])]);
+    let back =
+        sends(&harness.step(route(ListState::Live))).len() + timed_sends(&harness.advance(ms(2400))).len();
     assert_eq!(back, 0, "sent within a wait");
-    assert!(!timed_sends(&bed.pass(ms(6000))).is_empty(), "never sent again");
+    assert!(!timed_sends(&harness.advance(ms(6000))).is_empty(), "never sent again");
 }
 
 /// A destination that gets once-only messages alone: after some that failed nothing else shows whether it serves
@@ -473,24 +481,24 @@
         (false, Outcome::Failure),
         (false, Outcome::Unreachable),
     ] {
-        let mut bed = Bed::new(Settings { probes, ..settings() }, &[1]);
+        let mut harness = ControllerHarness::new(Settings { probes, ..settings() }, &[1]);
         for _ in 0..2 {
-            let (id, actions) = bed.message(2, None);
-            bed.outcome(id, 0, sends(&actions)[0].1, outcome);
-            bed.step(vec![Event::Withdrawn(id)]);
+            let (id, actions) = harness.submit(2, None);
+            harness.outcome(id, 0, sends(&actions)[0].1, outcome);
+            harness.step(vec![Event::Withdrawn(id)]);
         }
-        let (id, mut todo) = bed.message(2, None);
-        let start = bed.now;
+        let (id, mut todo) = harness.submit(2, None);
+        let start = harness.now;
         while !sends(&todo).iter().any(|s| s.0 == id) {
             assert!(
-                bed.now < start + ms(7000),
+                harness.now < start + ms(7000),
                 "held for {:?} (probes: {probes}, {outcome:?})",
-                bed.now - start
+                harness.now - start
             );
             let probed = todo.iter().any(|a| matches!(a, Action::Probe(_)));
-            bed.now += ms(5);
+            harness.now += ms(5);
             let success = Event::Probed { endpoint: EndpointId(1), outcome: Outcome::Success, limit: None };
-            todo = bed.step(if probed { vec![success] } else { vec![Event::Wake(0)] });
+            todo = harness.step(if probed { vec![success] } else { vec![Event::Wake(0)] });
         }
     }
 }
--- a/tests/law.rs
+++ b/tests/law.rs
@@ -7,19 +7,19 @@
 /// Firings of a message that is refused each time, alone at its destination: p is 1, so each one resends.
 #[test]
 fn timers_start_at_half_a_second_and_double_up_to_the_aim() {
-    let mut bed = Bed::new(settings(), &[1]);
-    let (id, actions) = bed.message(0, None);
+    let mut harness = ControllerHarness::new(settings(), &[1]);
+    let (id, actions) = harness.submit(0, None);
     let endpoint = sends(&actions)[0].1;
     let mut pauses = Vec::new();
     for attempt in 0..4 {
-        bed.outcome(id, attempt, endpoint, Outcome::Withdrawn);
-        let start = bed.now;
+        harness.outcome(id, attempt, endpoint, Outcome::Withdrawn);
+        let start = harness.now;
         let again = loop {
-            let sent = timed_sends(&bed.pass(ms(5)));
+            let sent = timed_sends(&harness.advance(ms(5)));
             if let Some(s) = sent.first() {
                 break s.0;
             }
-            assert!(bed.now < start + ms(10_000), "never sent again");
+            assert!(harness.now < start + ms(10_000), "never sent again");
         };
         pauses.push((again - start).as_millis());
     }
@@ -35,20 +35,20 @@
     s.max_calls = 200;
     s.max_held = 1000;
     let share = |crowd: usize| {
-        let mut bed = Bed::new(s.clone(), &[1]);
-        bed.pass(ms(30_000)); // lets the first-send rate decay from its start value
-        let orders: Vec<Event> = (0..crowd).map(|_| bed.order(0, None).1).collect();
-        let sent = sends(&bed.step(orders));
+        let mut harness = ControllerHarness::new(s.clone(), &[1]);
+        harness.advance(ms(30_000)); // lets the first-send rate decay from its start value
+        let orders: Vec<Event> = (0..crowd).map(|_| harness.new_message(0, None).1).collect();
+        let sent = sends(&harness.step(orders));
         assert_eq!(sent.len(), crowd);
         // A third of them is called off, which says nothing of the endpoint: it stays well.
         let mut failed = 0;
         for (n, (id, endpoint)) in sent.iter().enumerate() {
             if n % 3 == 0 {
                 failed += 1;
-                bed.outcome(*id, 0, *endpoint, Outcome::Withdrawn);
+                harness.outcome(*id, 0, *endpoint, Outcome::Withdrawn);
             }
         }
-        let passed = bed.pass(ms(520));
+        let passed = harness.advance(ms(520));
         // The rolls themselves: what is sent is held back by slots and paces as well, and would be without a law.
         let rolls = |won: bool| {
             let is = |a: &&(std::time::Duration, Action)| matches!(a.1, Action::Note(Note::Timer(_, _, w)) if w == won);
--- a/tests/property/legal.rs
+++ b/tests/property/legal.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-const WAYS: [Outcome; 8] = [
+const OUTCOMES: [Outcome; 8] = [
     Outcome::Success,
     Outcome::Failure,
     Outcome::Overloaded { wait: None },
@@ -18,7 +18,7 @@
     Outcome::TimedOut,
 ];
 
-struct Held {
+struct TrackedMessage {
     class: usize,
     key: Option<u64>,
     deadline: Duration,
@@ -29,8 +29,8 @@
 }
 
 #[derive(Default)]
-struct World {
-    owed: BTreeMap<MessageId, Held>,
+struct Model {
+    messages: BTreeMap<MessageId, TrackedMessage>,
     out: Vec<(MessageId, u32, EndpointId, Duration, Duration)>,
     live: BTreeSet<u32>,
     waits: BTreeMap<EndpointId, Duration>,
@@ -39,30 +39,30 @@
 }
 
 /// Endpoints 1 to 3 are one destination, 4 to 6 routes apart of another.
-pub fn home(e: u32) -> (DestinationId, usize) {
+pub fn destination_of(e: u32) -> (DestinationId, usize) {
     if e <= 3 { (DestinationId(7), 0) } else { (DestinationId(8), 1) }
 }
 
-impl World {
+impl Model {
     fn check(&mut self, now: Duration, settings: &Settings, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Send { id, endpoint, give_up_at } => {
                     let earlier_of_key = {
-                        let key = self.owed[id].key;
-                        let blocks = |(i, m): (&MessageId, &Held)| {
+                        let key = self.messages[id].key;
+                        let blocks = |(i, m): (&MessageId, &TrackedMessage)| {
                             i < id && m.key == key && (!m.ended || m.out.is_some())
                         };
-                        key.is_some() && self.owed.iter().any(blocks)
+                        key.is_some() && self.messages.iter().any(blocks)
                     };
                     assert!(!earlier_of_key, "order: {id:?}");
-                    let m = self.owed.get_mut(id).unwrap();
+                    let m = self.messages.get_mut(id).unwrap();
                     assert!(!m.ended && m.out.is_none(), "sent after its end or twice at once: {id:?}");
                     assert!(
                         m.attempts < settings.max_attempts && now < m.deadline && *give_up_at <= m.deadline
                     );
                     assert!(self.live.contains(&endpoint.0), "sent to an endpoint not listed");
-                    assert!(self.waits.get(endpoint).is_none_or(|w| now >= *w), "sent within a wait");
+                    assert!(self.waits.get(endpoint).is_none_or(|model| now >= *model), "sent within a wait");
                     let rest = m.key.and_then(|k| self.rests.get(&k));
                     assert!(rest.is_none_or(|(until, by)| by == id || now >= *until), "key not rested");
                     match (m.risk, m.class) {
@@ -76,7 +76,7 @@
                     // After refused connections alone nothing is known of capacity: single calls only.
                     if let Some((run, sent)) = self.down.get_mut(endpoint)
                         && *run >= 2
-                        && home(endpoint.0).1 == 0
+                        && destination_of(endpoint.0).1 == 0
                     {
                         sent.push(now);
                         let recent = sent.iter().filter(|t| **t + ms(450) > now).count();
@@ -84,12 +84,12 @@
                     }
                 }
                 Action::Refuse { id, .. } => {
-                    let m = self.owed.get_mut(id).unwrap();
+                    let m = self.messages.get_mut(id).unwrap();
                     assert!(!m.ended && m.out.is_none() && (m.risk.is_none() || m.class != 2), "bad refusal");
                     m.ended = true;
                 }
                 Action::Fail(id) => {
-                    let m = self.owed.get_mut(id).unwrap();
+                    let m = self.messages.get_mut(id).unwrap();
                     assert!(!m.ended, "two answers");
                     m.ended = true;
                 }
@@ -97,59 +97,60 @@
                 _ => {}
             }
         }
-        for (id, m) in &self.owed {
+        for (id, m) in &self.messages {
             assert!(m.ended || now <= m.deadline + ms(20), "no answer in time for {id:?}");
         }
     }
 }
 
 fn run(script: Vec<(u8, u8, u8)>) {
-    let settings = Settings { max_held: 40, key_rest: ms(300), ..settings() };
-    let mut bed = Bed::new(settings.clone(), &[]);
-    let mut w = World { live: (1..=6).collect(), ..World::default() };
-    let row = |e: u32, state| line(e, home(e).0, home(e).1, state);
-    bed.step(vec![Event::ListReplaced((1..=6).map(|e| row(e, ListState::Live)).collect())]);
+    let settings = Settings { max_held: 40, key_cooldown: ms(300), ..settings() };
+    let mut harness = ControllerHarness::new(settings.clone(), &[]);
+    let mut model = Model { live: (1..=6).collect(), ..Model::default() };
+    let row = |e: u32, state| entry(e, destination_of(e).0, destination_of(e).1, state);
+    harness.step(vec![Event::ListReplaced((1..=6).map(|e| row(e, ListState::Live)).collect())]);
     for (what, a, b) in script {
-        bed.now += ms(5 * (1 + u64::from(b) % 40));
-        let now = bed.now;
+        harness.now += ms(5 * (1 + u64::from(b) % 40));
+        let now = harness.now;
         let mut events = Vec::new();
         // Every attempt ends by its time-out.
-        let expired: Vec<usize> = (0..w.out.len()).filter(|i| w.out[*i].4 <= now).collect();
+        let expired: Vec<usize> = (0..model.out.len()).filter(|i| model.out[*i].4 <= now).collect();
         let mut ends: Vec<(usize, Outcome)> = expired.iter().map(|i| (*i, Outcome::TimedOut)).collect();
         match what % 8 {
             0..=2 => {
                 let class = usize::from(a) % 3;
                 let key = (class == 1 && a % 2 == 0).then_some(u64::from(b) % 3);
-                let (id, mut event) = bed.order(class, key);
+                let (id, mut event) = harness.new_message(class, key);
                 let Event::Message(m) = &mut event else { unreachable!() };
-                m.destination = home(1 + u32::from(b) % 6).0;
+                m.destination = destination_of(1 + u32::from(b) % 6).0;
                 let deadline = now + m.remaining;
-                w.owed.insert(
+                model.messages.insert(
                     id,
-                    Held { class, key, deadline, attempts: 0, out: None, risk: None, ended: false },
+                    TrackedMessage { class, key, deadline, attempts: 0, out: None, risk: None, ended: false },
                 );
                 events.push(event);
             }
-            3..=5 if !w.out.is_empty() => {
-                let i = usize::from(a) % w.out.len();
+            3..=5 if !model.out.is_empty() => {
+                let i = usize::from(a) % model.out.len();
                 if !expired.contains(&i) {
-                    ends.push((i, WAYS[usize::from(b) % 7]));
+                    ends.push((i, OUTCOMES[usize::from(b) % 7]));
                 }
             }
             6 => {
                 let e = 1 + u32::from(a) % 6;
                 let state = [ListState::Live, ListState::Draining, ListState::Gone][usize::from(b) % 3];
                 if state == ListState::Live {
-                    w.live.insert(e)
+                    model.live.insert(e)
                 } else {
-                    w.live.remove(&e)
+                    model.live.remove(&e)
                 };
                 events.push(Event::ListUpdate(vec![row(e, state)]));
             }
             7 if b % 8 == 0 => {
-                let open: Vec<MessageId> = w.owed.iter().filter(|(_, m)| !m.ended).map(|(i, _)| *i).collect();
+                let open: Vec<MessageId> =
+                    model.messages.iter().filter(|(_, m)| !m.ended).map(|(i, _)| *i).collect();
                 if let Some(id) = open.get(usize::from(a) % open.len().max(1)) {
-                    w.owed.get_mut(id).unwrap().ended = true;
+                    model.messages.get_mut(id).unwrap().ended = true;
                     events.push(Event::Withdrawn(*id));
                 }
             }
@@ -165,8 +166,8 @@
         }
         ends.sort_by_key(|e| std::cmp::Reverse(e.0));
         for (i, outcome) in ends {
-            let (id, attempt, endpoint, sent, _) = w.out.remove(i);
-            let m = w.owed.get_mut(&id).unwrap();
+            let (id, attempt, endpoint, sent, _) = model.out.remove(i);
+            let m = model.messages.get_mut(&id).unwrap();
             m.out = None;
             let ran = !matches!(outcome, Outcome::Overloaded { .. } | Outcome::Unreachable);
             if ran {
@@ -176,18 +177,18 @@
             if matches!(outcome, Outcome::TimedOut | Outcome::Broken)
                 && let Some(k) = m.key
             {
-                w.rests.insert(k, (now + ms(300), id));
+                model.rests.insert(k, (now + ms(300), id));
             }
             if let Outcome::Overloaded { wait: Some(wait) } = outcome {
                 for e in (1..=6).filter(|e| *e == endpoint.0 || (endpoint.0 <= 3 && *e <= 3)) {
-                    let until = w.waits.entry(EndpointId(e)).or_default();
+                    let until = model.waits.entry(EndpointId(e)).or_default();
                     *until = (*until).max(now + wait);
                     // From its end on the whole destination is known to be coming back.
-                    w.down.entry(EndpointId(e)).or_default().0 = 0;
+                    model.down.entry(EndpointId(e)).or_default().0 = 0;
                 }
             }
-            let d = w.down.entry(endpoint).or_default();
-            d.0 = if outcome == Outcome::Unreachable { d.0 + 1 } else { 0 };
+            let down = model.down.entry(endpoint).or_default();
+            down.0 = if outcome == Outcome::Unreachable { down.0 + 1 } else { 0 };
             let (terminal, elapsed) = (m.ended, now - sent);
             events.push(Event::Outcome(AttemptEnd {
                 id,
@@ -199,8 +200,8 @@
                 limit: None,
             }));
         }
-        let actions = bed.step(events);
-        w.check(now, &settings, &actions);
+        let actions = harness.step(events);
+        model.check(now, &settings, &actions);
     }
 }
 
--- a/tests/property/main.rs
+++ b/tests/property/main.rs
@@ -1,14 +1,14 @@
 //! Random events with fixed seeds: legal ones against the module alone, hostile ones against module, core and
 //! journal through kills, one property for each rule of the brief.
 #![allow(missing_docs)]
+#[path = "../cluster/mod.rs"]
+mod cluster;
 #[path = "../common/mod.rs"]
 mod common;
 mod legal;
-mod play;
 mod returns;
-#[path = "../stage/mod.rs"]
-mod stage;
-use play::{Play, Rule};
+mod simulation;
+use simulation::{Rule, Simulation};
 use std::collections::BTreeMap;
 
 /// How many runs are wanted, if not so many.
@@ -23,7 +23,7 @@
     let began = std::time::Instant::now();
     let mut seen: BTreeMap<&str, u64> = BTreeMap::new();
     for n in 0..runs {
-        let of_run = Play::run(rule, (rule as u64 + 1) * 1_000_000 + n);
+        let of_run = Simulation::run(rule, (rule as u64 + 1) * 1_000_000 + n);
         of_run.into_iter().for_each(|(what, times)| *seen.entry(what).or_default() += times);
     }
     println!("{rule:?}: {runs} runs in {:.1} s, {seen:?}", began.elapsed().as_secs_f64());
--- a/tests/property/returns.rs
+++ b/tests/property/returns.rs
@@ -1,9 +1,9 @@
 //! Cold returns: what a fleet sends to a partner that is back.
 
+use crate::cluster::rng::TestRng;
+use crate::cluster::{self, Fleet, Partner, START};
 use crate::common::*;
 use crate::runs;
-use crate::stage::dice::Dice;
-use crate::stage::{self, Fleet, Partner, START};
 use onyxstile::api::*;
 use std::collections::BTreeMap;
 
@@ -48,23 +48,23 @@
     let runs = seeds.end - seeds.start;
     let (mut worst, mut tried, mut delivered) = (BTreeMap::new(), 0, 0);
     for seed in seeds {
-        let mut dice = Dice::new(7_000_000 + seed);
-        let senders = dice.pick(fleets);
-        let probes = dice.percent(70);
+        let mut rng = TestRng::new(7_000_000 + seed);
+        let senders = rng.pick(fleets);
+        let probes = rng.percent(70);
         let s = Settings { senders, probes, start_capacity: 0.17, cold_time: ms(14_000), ..settings() };
-        let how = stage::WAYS[(seed % 5) as usize];
-        let (rate, from) = (least + dice.below(5) as f64, START + ms(15_000));
-        let back = from + ms(5000 + dice.below(12_000));
-        let servers = dice.pick(&[1, 2]);
+        let how = cluster::OUTAGE_KINDS[(seed % 5) as usize];
+        let (rate, from) = (least + rng.below(5) as f64, START + ms(15_000));
+        let back = from + ms(5000 + rng.below(12_000));
+        let servers = rng.pick(&[1, 2]);
         let mut fleet = Fleet::new(&s, Partner::new(rate, &s, (from, back, how)), servers, seed);
         let load = rate * 0.8;
         let mut hands_in = |f: &mut Fleet| {
-            if dice.below(1000) < (load * 5.0) as u64 {
-                let (relay, class) = (dice.below(u64::from(senders)) as usize, dice.pick(&[0, 2]));
-                f.offer(relay, class, ms(16_000));
+            if rng.below(1000) < (load * 5.0) as u64 {
+                let (relay, class) = (rng.below(u64::from(senders)) as usize, rng.pick(&[0, 2]));
+                f.submit(relay, class, ms(16_000));
             }
         };
-        fleet.pass(back - START + ms(16_000), &mut hands_in);
+        fleet.advance(back - START + ms(16_000), &mut hands_in);
         let over = fleet.partner.worst(&s);
         let most: &mut f64 = worst.entry(format!("{how:?}")).or_default();
         *most = most.max(over);
