--- a/tests/property/play/checks.rs
+++ b/tests/property/simulation/checks.rs
@@ -2,26 +2,26 @@
 
 use super::*;
 
-impl Play {
+impl Simulation {
     /// The process dies in the middle of a step, and another begins some time later.
     pub(super) fn kill(&mut self) {
-        let how = match self.dice.below(3) {
+        let how = match self.rng.below(3) {
             0 => Kill::Unwritten,
-            1 => Kill::Torn(1 + self.dice.below(60)),
+            1 => Kill::Torn(1 + self.rng.below(60)),
             _ => Kill::Written,
         };
-        self.saw("killed with calls out", !self.out.is_empty());
-        self.saw("killed with a torn journal", matches!(how, Kill::Torn(_)));
+        self.observe("killed with calls out", !self.out.is_empty());
+        self.observe("killed with a torn journal", matches!(how, Kill::Torn(_)));
         self.step(Some(how));
         // Its connections break with it: what was out may have run.
         for o in std::mem::take(&mut self.out) {
-            let f = self.owed.get_mut(&o.flow).unwrap();
+            let f = self.flows.get_mut(&o.flow).unwrap();
             (f.out, f.risk) = (None, f.risk.or(Some((o.sent, o.server))));
         }
         self.ended.clear();
         self.probes.clear();
         self.waits.clear();
-        self.now += ms(self.dice.below(3000));
+        self.now += ms(self.rng.below(3000));
         let list: Vec<_> =
             self.listed.iter().filter(|(_, l)| l.1 != ListState::Gone).map(|(s, l)| (s.0, *l)).collect();
         let list = list.into_iter().map(|(s, l)| self.entry(s, l.0, l.1)).collect();
@@ -31,7 +31,7 @@
         let (open, told): (Vec<_>, Vec<_>) =
             (ledger.open.keys().copied().collect(), ledger.owed.keys().copied().collect());
         let mut lost = vec![];
-        for (no, f) in &mut self.owed {
+        for (no, f) in &mut self.flows {
             f.taken |= open.contains(no);
             f.survived |= open.contains(no);
             // That it was called off was not written down: it goes on.
@@ -45,9 +45,9 @@
                 f.over = true;
             }
         }
-        self.law(Rule::OneAnswer, lost.is_empty(), || format!("{lost:?} lost in a kill"));
-        let due = self.owed.values().filter(|f| !f.over && f.deadline < self.now).count();
-        self.saw("time up while no process ran", due > 0);
+        self.check(Rule::OneAnswer, lost.is_empty(), || format!("{lost:?} lost in a kill"));
+        let due = self.flows.values().filter(|f| !f.over && f.deadline < self.now).count();
+        self.observe("time up while no process ran", due > 0);
         self.killed = true;
         self.step(None);
     }
@@ -56,13 +56,13 @@
         let Some(effects) = self.relay.step(self.now, kill) else { return };
         for effect in effects {
             match effect {
-                Does::Taken(no, _) => {
-                    let f = self.owed.get_mut(&no).unwrap();
+                RelayEffect::Accepted(no, _) => {
+                    let f = self.flows.get_mut(&no).unwrap();
                     assert!(!f.taken && !f.over, "taken twice: {no:?}");
                     f.taken = true;
                 }
-                Does::TurnedDown(no, ..) => self.answered(no, false, "turned down"),
-                Does::Ended(no, _, how) => {
+                RelayEffect::Rejected(no, ..) => self.answered(no, false, "turned down"),
+                RelayEffect::Ended(no, _, how) => {
                     let returned = matches!(how, End::Returned(_));
                     let what = match how {
                         End::Delivered => "delivered",
@@ -71,20 +71,20 @@
                     };
                     self.answered(no, returned, what);
                     if how != End::Delivered {
-                        self.relay.noticed(no);
+                        self.relay.notice_delivered(no);
                     }
                 }
-                Does::Call { flow, attempt, server, give_up_at, .. } => {
+                RelayEffect::Call { flow, attempt, server, give_up_at, .. } => {
                     self.call(flow, attempt, server, give_up_at)
                 }
-                Does::StopCall(flow, attempt) => {
+                RelayEffect::StopCall(flow, attempt) => {
                     let at = self.out.iter().position(|o| (o.flow, o.attempt) == (flow, attempt));
                     if let Some(n) = at {
-                        self.saw("a call called off for its slot", true);
+                        self.observe("a call called off for its slot", true);
                         self.end(n, Outcome::Withdrawn);
                     }
                 }
-                Does::Probe(server) => {
+                RelayEffect::Probe(server) => {
                     self.sent_to(server);
                     self.probes.push(server);
                 }
@@ -95,56 +95,60 @@
             return self.step(None);
         }
         let late: Vec<_> = self
-            .owed
+            .flows
             .iter()
             .filter(|(_, f)| f.taken && !f.over && self.now > f.deadline + ms(20))
             .map(|(no, _)| *no)
             .collect();
-        self.law(Rule::OneAnswer, late.is_empty(), || format!("{late:?} without an answer in time"));
+        self.check(Rule::OneAnswer, late.is_empty(), || format!("{late:?} without an answer in time"));
     }
 
     pub(super) fn answered(&mut self, no: FlowNo, returned: bool, what: &'static str) {
-        let f = self.owed.get_mut(&no).unwrap();
+        let f = self.flows.get_mut(&no).unwrap();
         let (over, risk, class) = (std::mem::replace(&mut f.over, true), f.risk, f.class);
         let early = self.now + ms(30) < f.deadline;
-        self.law(Rule::OneAnswer, !over, || format!("{no:?} answered twice, now {what}"));
+        self.check(Rule::OneAnswer, !over, || format!("{no:?} answered twice, now {what}"));
         let keyed_to_all =
             matches!(self.settings.classes[1].effect, Effect::Keyed { group: RepeatGroup::All, .. });
         let harmless = risk.is_none() || class == 0 || class == 1 && keyed_to_all;
-        self.law(Rule::Bounds, !returned || harmless, || format!("{no:?} may have run and was handed back"));
-        self.saw(what, true);
-        self.saw(
+        self.check(Rule::Bounds, !returned || harmless, || {
+            format!("{no:?} may have run and was handed back")
+        });
+        self.observe(what, true);
+        self.observe(
             "given up at once, as it may have run",
             what == "failed" && class == 2 && risk.is_some() && early,
         );
-        self.saw("ended after a kill", self.killed);
+        self.observe("ended after a kill", self.killed);
     }
 
     /// Whatever goes to a real server: drains and waits are kept.
     pub(super) fn sent_to(&mut self, server: ServerNo) {
         let listed = self.listed.get(&server).is_some_and(|l| l.1 == ListState::Live);
-        self.law(Rule::Drains, listed, || format!("{server:?} was sent to, and is not listed"));
+        self.check(Rule::Drains, listed, || format!("{server:?} was sent to, and is not listed"));
         let others = self.listed.values().filter(|l| l.1 == ListState::Draining).count();
-        self.saw("sent while others drain", others > 0);
-        let its = bound(server, self.listed.get(&server).map_or(ALL[0], |l| l.0));
+        self.observe("sent while others drain", others > 0);
+        let its = limiter_of(server, self.listed.get(&server).map_or(ALL[0], |l| l.0));
         let wait = self.waits.get(&its).copied().unwrap_or_default();
-        self.law(Rule::Waits, self.now >= wait, || format!("{server:?} was sent to within its wait"));
+        self.check(Rule::Waits, self.now >= wait, || format!("{server:?} was sent to within its wait"));
         let ended = !wait.is_zero() && self.now < wait + ms(300);
-        self.saw("sent soon after a wait", ended);
+        self.observe("sent soon after a wait", ended);
         let now = self.now;
         let elsewhere = self.waits.iter().any(|(b, until)| *b != its && now < *until);
-        self.saw("sent while others are waited for", elsewhere);
+        self.observe("sent while others are waited for", elsewhere);
     }
 
     pub(super) fn call(&mut self, flow: FlowNo, attempt: u32, server: ServerNo, give_up_at: Duration) {
         self.sent_to(server);
-        let f = &self.owed[&flow];
+        let f = &self.flows[&flow];
         let (class, risk, calls) = (f.class, f.risk, f.calls);
         let s = &self.settings;
         let open = f.taken && !f.over && self.now < f.deadline && give_up_at <= f.deadline;
-        self.law(Rule::OneAnswer, open, || format!("{flow:?} was sent when it was over, or beyond its time"));
-        self.law(Rule::SideBySide, f.out.is_none(), || format!("{flow:?} is out twice"));
-        self.law(Rule::Drains, self.listed[&server].0 == f.to, || {
+        self.check(Rule::OneAnswer, open, || {
+            format!("{flow:?} was sent when it was over, or beyond its time")
+        });
+        self.check(Rule::SideBySide, f.out.is_none(), || format!("{flow:?} is out twice"));
+        self.check(Rule::Drains, self.listed[&server].0 == f.to, || {
             format!("{flow:?} went to another's server")
         });
         let zone = |s: ServerNo| s.0 % 2;
@@ -161,15 +165,15 @@
             }
         };
         let most = s.max_attempts;
-        self.law(Rule::Bounds, allowed && calls < most, || {
+        self.check(Rule::Bounds, allowed && calls < most, || {
             format!("{flow:?} sent again: {calls} calls, {risk:?}")
         });
-        self.saw("once: resent after proof that it never ran", class == 2 && calls > 0);
-        self.saw("keyed: resent within its window", class == 1 && risk.is_some());
-        self.saw("repeatable: resent though it may have run", class == 0 && risk.is_some());
-        self.saw("resent", calls > 0);
-        self.saw("resent by another process", calls > 0 && self.owed[&flow].survived);
-        let f = self.owed.get_mut(&flow).unwrap();
+        self.observe("once: resent after proof that it never ran", class == 2 && calls > 0);
+        self.observe("keyed: resent within its window", class == 1 && risk.is_some());
+        self.observe("repeatable: resent though it may have run", class == 0 && risk.is_some());
+        self.observe("resent", calls > 0);
+        self.observe("resent by another process", calls > 0 && self.flows[&flow].survived);
+        let f = self.flows.get_mut(&flow).unwrap();
         (f.out, f.calls) = (Some(attempt), calls + 1);
         self.out.push(Out { flow, attempt, server, sent: self.now, give_up_at });
     }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,11 +1,11 @@
 //! A destination is back, many messages wait, and their timers fall due together: the first seconds, one by one.
 //! `cargo test --test recovery -- --nocapture` prints the table of docs/hardening-review.md.
 #![allow(missing_docs)]
+mod cluster;
 mod common;
-mod stage;
+use cluster::{Fleet, OutageKind, Partner, START};
 use common::*;
 use onyxstile::api::*;
-use stage::{Away, Fleet, Partner, START};
 use std::time::Duration;
 
 const RATE: f64 = 4.0;
@@ -32,18 +32,18 @@
 }
 
 /// `senders` relays with some traffic; the partner is away for 8 s, in which each relay gathers what waits.
-fn outage(how: Away, senders: u32, kill: bool) -> Row {
+fn outage(how: OutageKind, senders: u32, kill: bool) -> Row {
     let s = relays(senders);
     let (from, back) = (START + ms(6000), START + ms(14_000));
     let mut fleet = Fleet::new(&s, Partner::new(RATE, &s, (from, back, how)), 2, 1);
     let mut n = 0;
-    fleet.pass(ms(14_000), &mut |f| {
+    fleet.advance(ms(14_000), &mut |f| {
         let away = f.now >= from && f.now < from + ms(3000);
         let each = if away { 3000 / (5 * PENDING as u64) } else { 80 * u64::from(senders) };
         n += 1;
         if n % each.max(1) == 0 {
             (0..senders as usize).for_each(|r| {
-                f.offer(r, usize::from(n % 2 == 0) * 2, ms(16_000));
+                f.submit(r, usize::from(n % 2 == 0) * 2, ms(16_000));
             });
         }
     });
@@ -51,7 +51,7 @@
         (0..senders as usize).for_each(|r| fleet.kill(r));
     }
     let waiting: usize = fleet.relays.iter().map(|r| r.core.open_flows()).sum();
-    fleet.pass(ms(16_000), &mut |_| {});
+    fleet.advance(ms(16_000), &mut |_| {});
     let what =
         format!("{how:?}{}, {senders}, {waiting}", if kill { " and all killed at its end" } else { "" });
     row(what, &fleet, &s, back)
@@ -65,37 +65,37 @@
 /// Nothing was away: the relays die with a full journal and come back, or short waits end together.
 fn warm(senders: u32, kill: bool) -> Row {
     let s = Settings { start_capacity: 1.0, cold_time: ms(1), ..relays(senders) };
-    let how = if kill { Away::Refuses } else { Away::Told };
+    let how = if kill { OutageKind::ConnectionRefused } else { OutageKind::OverloadedWithWait };
     // Short enough that nobody takes it for an outage.
     let (from, back) = (START + ms(4000), START + ms(4000) + if kill { ms(1) } else { ms(1500) });
     let mut fleet = Fleet::new(&s, Partner::new(RATE, &s, (from, back, how)), 2, 1);
-    fleet.pass(ms(3000), &mut |f| {
+    fleet.advance(ms(3000), &mut |f| {
         if (f.now - START).as_millis().is_multiple_of(400 * u128::from(senders)) {
             (0..senders as usize).for_each(|r| {
-                f.offer(r, 0, ms(16_000));
+                f.submit(r, 0, ms(16_000));
             });
         }
     });
-    fleet.pass(ms(1000), &mut |_| {});
-    fleet.pass(if kill { ms(5) } else { ms(1500) }, &mut |f| {
+    fleet.advance(ms(1000), &mut |_| {});
+    fleet.advance(if kill { ms(5) } else { ms(1500) }, &mut |f| {
         if f.relays[0].core.open_flows() < PENDING {
             (0..senders as usize).for_each(|r| {
-                f.offer(r, 0, ms(16_000));
+                f.submit(r, 0, ms(16_000));
             });
         }
     });
     if kill {
         for r in 0..senders as usize {
             while fleet.relays[r].core.open_flows() < PENDING {
-                fleet.offer(r, 0, ms(16_000)).unwrap();
+                fleet.submit(r, 0, ms(16_000)).unwrap();
             }
-            fleet.relays[r].step(fleet.now, Some(stage::Kill::Written));
+            fleet.relays[r].step(fleet.now, Some(cluster::Kill::Written));
             fleet.kill(r);
         }
     }
     let waiting: usize = fleet.relays.iter().map(|r| r.core.open_flows()).sum();
     let back = fleet.now;
-    fleet.pass(ms(16_000), &mut |_| {});
+    fleet.advance(ms(16_000), &mut |_| {});
     let what = format!(
         "{}, {senders}, {waiting}",
         if kill { "killed with a full journal" } else { "short waits end together" }
@@ -122,7 +122,7 @@
             r.failed
         );
     };
-    for how in stage::WAYS {
+    for how in cluster::OUTAGE_KINDS {
         for senders in [1, 3] {
             for kill in [false, true] {
                 let r = outage(how, senders, kill);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -9,25 +9,25 @@
 
 #[test]
 fn nothing_is_sent_for_a_withdrawn_message() {
-    let mut bed = Bed::new(settings(), &[1]);
-    let (id, actions) = bed.message(0, None);
+    let mut harness = ControllerHarness::new(settings(), &[1]);
+    let (id, actions) = harness.submit(0, None);
     let (_, endpoint) = sends(&actions)[0];
-    bed.step(vec![Event::Withdrawn(id)]);
-    let actions = bed.outcome(id, 0, endpoint, Outcome::Failure);
+    harness.step(vec![Event::Withdrawn(id)]);
+    let actions = harness.outcome(id, 0, endpoint, Outcome::Failure);
     assert!(!actions.contains(&Action::Fail(id)));
-    assert!(sends(&bed.pass(ms(16_000)).into_iter().map(|a| a.1).collect::<Vec<_>>()).is_empty());
+    assert!(sends(&harness.advance(ms(16_000)).into_iter().map(|a| a.1).collect::<Vec<_>>()).is_empty());
 }
 
 #[test]
 fn a_message_with_one_try_is_failed_when_it_may_have_run_and_retried_when_it_did_not() {
-    let mut bed = Bed::new(settings(), &[1]);
-    let (id, actions) = bed.message(2, None);
-    let actions = bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Broken);
+    let mut harness = ControllerHarness::new(settings(), &[1]);
+    let (id, actions) = harness.submit(2, None);
+    let actions = harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Broken);
     assert!(actions.contains(&Action::Fail(id)));
-    let (id, actions) = bed.message(2, None);
-    let actions = bed.outcome(id, 0, sends(&actions)[0].1, FULL);
+    let (id, actions) = harness.submit(2, None);
+    let actions = harness.outcome(id, 0, sends(&actions)[0].1, FULL);
     assert!(!actions.contains(&Action::Fail(id)));
-    assert!(timed_sends(&bed.pass(ms(3000))).iter().any(|s| s.1 == id));
+    assert!(timed_sends(&harness.advance(ms(3000))).iter().any(|s| s.1 == id));
 }
 
 #[test]
@@ -39,12 +39,12 @@
         let mut s = settings();
         assert!(window <= s.connect_timeout);
         s.classes[1].effect = Effect::Keyed { group: RepeatGroup::All, window };
-        let mut bed = Bed::new(s, &[1]);
-        let (id, actions) = bed.message(1, None);
-        let (sent, at) = (bed.now, sends(&actions)[0].1);
-        bed.now += ms(20);
-        bed.outcome(id, 0, at, Outcome::Failure);
-        let later = bed.pass(ms(2000));
+        let mut harness = ControllerHarness::new(s, &[1]);
+        let (id, actions) = harness.submit(1, None);
+        let (sent, at) = (harness.now, sends(&actions)[0].1);
+        harness.now += ms(20);
+        harness.outcome(id, 0, at, Outcome::Failure);
+        let later = harness.advance(ms(2000));
         let sends = timed_sends(&later);
         assert!(sends.iter().all(|s| s.0 + ms(5) < sent + window), "{sends:?}");
         assert!(sends.len() == 1 || later.iter().any(|(_, a)| *a == Action::Fail(id)));
@@ -57,47 +57,47 @@
 fn a_keyed_message_stays_in_its_zone() {
     let mut s = settings();
     s.classes[1].effect = Effect::Keyed { group: RepeatGroup::Zone, window: ms(15_000) };
-    let mut bed = Bed::new(s, &[1, 2]);
-    let (id, actions) = bed.message(1, None);
+    let mut harness = ControllerHarness::new(s, &[1, 2]);
+    let (id, actions) = harness.submit(1, None);
     let first = sends(&actions)[0].1;
-    bed.outcome(id, 0, first, Outcome::Failure);
-    let again = timed_sends(&bed.pass(ms(3000)));
+    harness.outcome(id, 0, first, Outcome::Failure);
+    let again = timed_sends(&harness.advance(ms(3000)));
     assert_eq!(again[0].2, first);
 }
 
 #[test]
 fn a_draining_or_missing_endpoint_gets_nothing_more() {
-    let mut bed = Bed::new(settings(), &[1, 2]);
-    bed.step(vec![Event::ListUpdate(vec![line(2, D, 0, ListState::Draining)])]);
+    let mut harness = ControllerHarness::new(settings(), &[1, 2]);
+    harness.step(vec![Event::ListUpdate(vec![entry(2, DESTINATION, 0, ListState::Draining)])]);
     for _ in 0..6 {
-        let (_, actions) = bed.message(0, None);
+        let (_, actions) = harness.submit(0, None);
         assert!(sends(&actions).iter().all(|s| s.1 == EndpointId(1)));
     }
-    bed.step(vec![Event::ListReplaced(vec![])]);
-    let (_, actions) = bed.message(0, None);
+    harness.step(vec![Event::ListReplaced(vec![])]);
+    let (_, actions) = harness.submit(0, None);
     assert!(sends(&actions).is_empty());
     // Held ones go out as soon as the destination has an endpoint again.
-    let actions = bed.step(vec![Event::ListReplaced(vec![line(3, D, 0, ListState::Live)])]);
+    let actions = harness.step(vec![Event::ListReplaced(vec![entry(3, DESTINATION, 0, ListState::Live)])]);
     assert_eq!(sends(&actions)[0].1, EndpointId(3));
 }
 
 #[test]
 fn a_returning_endpoint_is_tried_singly_and_then_ramped() {
-    let mut bed = Bed::new(settings(), &[1]);
+    let mut harness = ControllerHarness::new(settings(), &[1]);
     for _ in 0..2 {
-        let (id, actions) = bed.message(0, None);
-        bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Unreachable);
+        let (id, actions) = harness.submit(0, None);
+        harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Unreachable);
     }
-    let orders: Vec<Event> = (0..20).map(|_| bed.order(0, None).1).collect();
-    assert!(sends(&bed.step(orders)).is_empty(), "sent to an endpoint judged down");
+    let orders: Vec<Event> = (0..20).map(|_| harness.new_message(0, None).1).collect();
+    assert!(sends(&harness.step(orders)).is_empty(), "sent to an endpoint judged down");
     // With no rate known a destination is taken to serve a call in the first timer; two senders share it.
-    let trial = timed_sends(&bed.pass(ms(5000)));
+    let trial = timed_sends(&harness.advance(ms(5000)));
     assert!((1..=2).contains(&trial.len()), "trials are single calls with a pause: {trial:?}");
     let trial = trial[trial.len() - 1..].to_vec();
     // The oldest message is the trial; this is its second attempt.
-    let actions = bed.outcome(trial[0].1, 1, trial[0].2, Outcome::Success);
+    let actions = harness.outcome(trial[0].1, 1, trial[0].2, Outcome::Success);
     let at_once = sends(&actions).len();
-    let within = timed_sends(&bed.pass(ms(10_000))).len();
+    let within = timed_sends(&harness.advance(ms(10_000))).len();
     assert_eq!(at_once, 0, "no rush at the first success");
     assert!((2..=8).contains(&within), "{within} calls to a cold endpoint in ten seconds");
 }
@@ -105,56 +105,56 @@
 #[test]
 fn messages_of_one_key_take_turns_and_rest() {
     let mut s = settings();
-    s.key_rest = ms(400);
-    let mut bed = Bed::new(s, &[1]);
-    let (first, actions) = bed.message(1, Some(9));
+    s.key_cooldown = ms(400);
+    let mut harness = ControllerHarness::new(s, &[1]);
+    let (first, actions) = harness.submit(1, Some(9));
     let endpoint = sends(&actions)[0].1;
-    let (second, actions) = bed.message(1, Some(9));
+    let (second, actions) = harness.submit(1, Some(9));
     assert!(sends(&actions).is_empty());
     // The first is withdrawn, but its attempt is still out.
-    assert!(sends(&bed.step(vec![Event::Withdrawn(first)])).is_empty());
-    assert!(sends(&bed.outcome(first, 0, endpoint, Outcome::Broken)).is_empty());
-    let start = bed.now;
-    let later = timed_sends(&bed.pass(ms(1000)));
+    assert!(sends(&harness.step(vec![Event::Withdrawn(first)])).is_empty());
+    assert!(sends(&harness.outcome(first, 0, endpoint, Outcome::Broken)).is_empty());
+    let start = harness.now;
+    let later = timed_sends(&harness.advance(ms(1000)));
     assert_eq!(later[0].1, second);
     assert!(later[0].0 >= start + ms(400));
 }
 
 #[test]
 fn a_told_wait_binds_every_endpoint_of_the_destination() {
-    let mut bed = Bed::new(settings(), &[1, 2]);
-    let (id, actions) = bed.message(0, None);
+    let mut harness = ControllerHarness::new(settings(), &[1, 2]);
+    let (id, actions) = harness.submit(0, None);
     let wait = Some(ms(1500));
-    bed.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait });
-    let start = bed.now;
-    assert!(sends(&bed.message(2, None).1).is_empty());
-    let later = timed_sends(&bed.pass(ms(4000)));
+    harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait });
+    let start = harness.now;
+    assert!(sends(&harness.submit(2, None).1).is_empty());
+    let later = timed_sends(&harness.advance(ms(4000)));
     assert!(!later.is_empty() && later.iter().all(|s| s.0 >= start + ms(1500)));
 }
 
 #[test]
 fn a_wait_told_to_one_message_of_a_shared_call_is_heeded_at_once() {
-    let mut bed = Bed::new(settings(), &[]);
-    bed.step(vec![Event::ListReplaced(vec![line(1, D, 1, ListState::Live)])]);
-    let orders: Vec<Event> = (0..3).map(|_| bed.order(0, None).1).collect();
-    let sent = sends(&bed.step(orders));
+    let mut harness = ControllerHarness::new(settings(), &[]);
+    harness.step(vec![Event::ListReplaced(vec![entry(1, DESTINATION, 1, ListState::Live)])]);
+    let orders: Vec<Event> = (0..3).map(|_| harness.new_message(0, None).1).collect();
+    let sent = sends(&harness.step(orders));
     assert_eq!(sent.len(), 3);
-    bed.outcome(sent[0].0, 0, sent[0].1, Outcome::Overloaded { wait: Some(ms(800)) });
-    assert!(sends(&bed.message(0, None).1).is_empty());
-    assert!(timed_sends(&bed.pass(ms(790))).is_empty());
+    harness.outcome(sent[0].0, 0, sent[0].1, Outcome::Overloaded { wait: Some(ms(800)) });
+    assert!(sends(&harness.submit(0, None).1).is_empty());
+    assert!(timed_sends(&harness.advance(ms(790))).is_empty());
 }
 
 #[test]
 fn a_route_apart_waits_alone() {
-    let mut bed = Bed::new(settings(), &[]);
-    let routes = vec![line(1, D, 1, ListState::Live), line(2, D, 1, ListState::Live)];
-    bed.step(vec![Event::ListReplaced(routes)]);
-    let (id, actions) = bed.message(0, None);
+    let mut harness = ControllerHarness::new(settings(), &[]);
+    let routes = vec![entry(1, DESTINATION, 1, ListState::Live), entry(2, DESTINATION, 1, ListState::Live)];
+    harness.step(vec![Event::ListReplaced(routes)]);
+    let (id, actions) = harness.submit(0, None);
     let first = sends(&actions)[0].1;
-    bed.outcome(id, 0, first, Outcome::Overloaded { wait: Some(ms(800)) });
-    let (next, _) = bed.message(0, None);
+    harness.outcome(id, 0, first, Outcome::Overloaded { wait: Some(ms(800)) });
+    let (next, _) = harness.submit(0, None);
     // Under a limit it waits a little for company, but not for the other route's wait to end.
-    let later = timed_sends(&bed.pass(ms(400)));
+    let later = timed_sends(&harness.advance(ms(400)));
     assert!(later.iter().any(|s| s.1 == next) && later.iter().all(|s| s.2 != first), "{later:?}");
 }
 
@@ -162,13 +162,13 @@
 /// long a pause that it counts as told of a drain that it cannot know.
 #[test]
 fn a_list_that_cannot_be_had_is_asked_for_again_in_time() {
-    let mut bed = Bed::new(Settings { ask_for_list: true, ..settings() }, &[1]);
-    bed.pass(ms(20));
+    let mut harness = ControllerHarness::new(Settings { ask_for_list: true, ..settings() }, &[1]);
+    harness.advance(ms(20));
     let mut asked = Vec::new();
     for _ in 0..10 {
-        let actions = bed.step(vec![Event::ListUnavailable]);
+        let actions = harness.step(vec![Event::ListUnavailable]);
         let mut wake: Vec<Action> = actions;
-        let from = bed.now;
+        let from = harness.now;
         loop {
             if wake.contains(&Action::Subscribe) {
                 break;
@@ -177,17 +177,17 @@
                 Action::Wake { after, .. } => Some(*after),
                 _ => None,
             });
-            bed.now += after.expect("an idle sender sets a timer to ask again");
-            wake = bed.step(vec![Event::Wake(0)]);
+            harness.now += after.expect("an idle sender sets a timer to ask again");
+            wake = harness.step(vec![Event::Wake(0)]);
         }
-        asked.push(bed.now - from);
+        asked.push(harness.now - from);
     }
     assert!(asked.iter().all(|p| *p < ms(10_000)), "{asked:?}");
     assert!(asked[0] >= ms(100) && asked[5] >= ms(2000), "asked again in a burst: {asked:?}");
     // A restart with a stale list: the answer replaces it, and no message goes where it does not name.
-    let actions = bed.step(vec![Event::ListReplaced(vec![line(2, D, 0, ListState::Live)])]);
+    let actions = harness.step(vec![Event::ListReplaced(vec![entry(2, DESTINATION, 0, ListState::Live)])]);
     assert!(!actions.contains(&Action::Subscribe));
-    let (_, actions) = bed.message(0, None);
+    let (_, actions) = harness.submit(0, None);
     assert_eq!(sends(&actions)[0].1, EndpointId(2));
 }
 
@@ -195,38 +195,38 @@
 /// already and not tried yet. Given up over half of it with no call, a day of restarts fails.
 #[test]
 fn what_a_restart_found_untried_is_tried_though_room_runs_short() {
-    let mut bed = Bed::new(settings(), &[1, 2]);
+    let mut harness = ControllerHarness::new(settings(), &[1, 2]);
     let found: Vec<_> = (0..90)
         .map(|n| {
-            let (id, event) = bed.order(if n % 2 == 0 { 0 } else { 2 }, None);
+            let (id, event) = harness.new_message(if n % 2 == 0 { 0 } else { 2 }, None);
             let Event::Message(m) = event else { unreachable!() };
             let past = Past { held: true, ..Past::default() };
             (id, Event::Message(NewMessage { past, remaining: ms(12_000), ..m }))
         })
         .collect();
     let ids: Vec<_> = found.iter().map(|f| f.0).collect();
-    let mut seen = bed.step(found.into_iter().map(|f| f.1).collect());
+    let mut seen = harness.step(found.into_iter().map(|f| f.1).collect());
     // For 2 s a hundred a second come, worth more, as they have more of their time; calls end after 300 ms.
     let mut out: Vec<(Duration, MessageId, EndpointId)> = Vec::new();
     let (mut tried, mut given_up, mut away) = (Vec::new(), 0, 0);
     for n in 0..2300 {
-        bed.now += ms(5);
+        harness.now += ms(5);
         let mut events = vec![Event::Wake(0)];
         if n < 400 && n % 2 == 0 {
-            events.push(bed.order(0, None).1);
+            events.push(harness.new_message(0, None).1);
         }
-        let (ended, left): (Vec<_>, Vec<_>) = out.into_iter().partition(|o| o.0 + ms(300) <= bed.now);
+        let (ended, left): (Vec<_>, Vec<_>) = out.into_iter().partition(|o| o.0 + ms(300) <= harness.now);
         out = left;
         events.extend(ended.into_iter().map(|(_, id, endpoint)| {
             let (outcome, elapsed) = (Outcome::Success, ms(300));
             let (attempt, terminal, limit) = (0, true, None);
             Event::Outcome(AttemptEnd { id, attempt, endpoint, outcome, elapsed, terminal, limit })
         }));
-        seen.extend(bed.step(events));
+        seen.extend(harness.step(events));
         for action in seen.drain(..) {
             match action {
                 Action::Send { id, endpoint, .. } => {
-                    out.push((bed.now, id, endpoint));
+                    out.push((harness.now, id, endpoint));
                     tried.push(id);
                 }
                 Action::Refuse { id, .. } | Action::Fail(id) if ids.contains(&id) => given_up += 1,
