--- a/crates/onyxstile-system/src/balance/directory.rs
+++ b/crates/onyxstile-system/src/balance/directory.rs
@@ -5,7 +5,7 @@
 use super::endpoint::Endpoint;
 use super::{EndpointKey, Endpoints};
 use crate::clock::Instant;
-use crate::registry::{Instance, RELAYS_FORGET_AFTER, Stage};
+use crate::registry::{Instance, RELAY_TOMBSTONE_LIFETIME, Stage};
 
 impl Endpoints {
     /// Takes a registration in; returns incarnations that are not to be called any more.
@@ -27,7 +27,7 @@
 
     /// Forgets endpoints that left or fell silent long ago; returns their keys, which name nothing any more.
     pub fn forget(&mut self, now: Instant) -> Vec<EndpointKey> {
-        let is_over = |endpoint: &Endpoint| endpoint.is_over(now, RELAYS_FORGET_AFTER);
+        let is_over = |endpoint: &Endpoint| endpoint.is_over(now, RELAY_TOMBSTONE_LIFETIME);
         let over: Vec<EndpointKey> =
             self.slots.iter().filter(|(_, endpoint)| is_over(endpoint)).map(|(key, _)| key).collect();
         for key in &over {
--- a/crates/onyxstile-system/src/balance/endpoint.rs
+++ b/crates/onyxstile-system/src/balance/endpoint.rs
@@ -97,7 +97,7 @@
 
     /// Whether it left or fell silent so long ago that nothing of it is wanted any more.
     pub(super) fn is_over(&self, now: Instant, after: Duration) -> bool {
-        let is_away = self.is_superseded || self.instance.is_away();
+        let is_away = self.is_superseded || self.instance.is_unavailable();
         is_away && self.in_flight == 0 && now.since(self.updated) > after
     }
 
--- a/crates/onyxstile-system/src/control.rs
+++ b/crates/onyxstile-system/src/control.rs
@@ -3,8 +3,8 @@
 mod message;
 mod write;
 
-pub use message::{Message, Written};
-pub use write::{Change, REMEMBERED_CHANGES, Write};
+pub use message::{ChainUpdate, Message};
+pub use write::{ACCEPTED_CHANGES_MAX, Change, Write};
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -127,7 +127,7 @@
 
 /// Tells the processes apart that run on one machine, one after the other: drawn at random from all 64-bit numbers at each
 /// start. Whatever is counted from the start of a process is told with it, for messages may outlast the process.
-pub type Life = u64;
+pub type Incarnation = u64;
 
 /// Tells an operation apart: the controller that it came to, its life, and a number there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
@@ -135,7 +135,7 @@
     /// The controller that waits for the outcome.
     pub origin: [u8; 4],
     /// The life of the process that waits.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Its number for the operation.
     pub number: u64,
 }
--- a/crates/onyxstile-system/src/control/message.rs
+++ b/crates/onyxstile-system/src/control/message.rs
@@ -4,23 +4,23 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-use super::{Ballot, ControlState, ElectorId, Life, Operation, Outcome, Token, View, Write};
+use super::{Ballot, ControlState, ElectorId, Incarnation, Operation, Outcome, Token, View, Write};
 
 /// A write on its way down the chain.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub enum Written {
+pub enum ChainUpdate {
     /// The write itself.
     Write(Rc<Write>),
     /// The state that it made, from a member that no longer knows the write: it was started since.
     State(ControlState),
 }
 
-impl Written {
+impl ChainUpdate {
     /// The sequence of the state that it makes.
     pub fn sequence(&self) -> u64 {
         match self {
-            Written::Write(write) => write.sequence,
-            Written::State(state) => state.sequence,
+            ChainUpdate::Write(write) => write.sequence,
+            ChainUpdate::State(state) => state.sequence,
         }
     }
 }
@@ -92,7 +92,7 @@
         /// The view in which it is written.
         view: u64,
         /// What was written.
-        written: Written,
+        written: ChainUpdate,
     },
     /// A write that the tail has synced, on its way up the chain.
     Applied {
@@ -106,7 +106,7 @@
         /// The view.
         view: u64,
         /// The life that asks.
-        life: Life,
+        incarnation: Incarnation,
         /// Tells questions of a life apart.
         nonce: u64,
     },
@@ -117,7 +117,7 @@
         /// The view.
         view: u64,
         /// The life that asked.
-        life: Life,
+        incarnation: Incarnation,
         /// The question's number.
         nonce: u64,
     },
--- a/crates/onyxstile-system/src/control/write.rs
+++ b/crates/onyxstile-system/src/control/write.rs
@@ -10,7 +10,7 @@
 use crate::storage_plan::StoragePlan;
 
 /// Taken changes that are remembered; without a bound the state grows with every change of a deployment's life.
-pub const REMEMBERED_CHANGES: usize = 8192;
+pub const ACCEPTED_CHANGES_MAX: usize = 8192;
 
 /// What a write changes.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
@@ -32,7 +32,7 @@
     /// The sequence of the state that it makes.
     pub sequence: u64,
     /// The digest of the state that it is made to.
-    pub follows: u64,
+    pub base_digest: u64,
     /// What it changes.
     pub change: Change,
 }
@@ -40,12 +40,12 @@
 impl ControlState {
     /// The write that makes `change` to this state.
     pub fn write(&self, change: Change) -> Write {
-        Write { sequence: self.sequence + 1, follows: self.digest, change }
+        Write { sequence: self.sequence + 1, base_digest: self.digest, change }
     }
 
     /// Makes a write; false, and nothing is changed, if it follows another state than this.
     pub fn apply(&mut self, write: &Write) -> bool {
-        if write.sequence != self.sequence + 1 || write.follows != self.digest {
+        if write.sequence != self.sequence + 1 || write.base_digest != self.digest {
             return false;
         }
         self.digest = digest(write);
@@ -53,10 +53,10 @@
         match &write.change {
             Change::Configuration { configuration, accepted } => {
                 self.configuration = Some(configuration.clone());
-                let remembered = Rc::make_mut(&mut self.accepted);
-                remembered.push(*accepted);
-                let surplus = remembered.len().saturating_sub(REMEMBERED_CHANGES);
-                remembered.drain(..surplus);
+                let history = Rc::make_mut(&mut self.accepted);
+                history.push(*accepted);
+                let surplus = history.len().saturating_sub(ACCEPTED_CHANGES_MAX);
+                history.drain(..surplus);
             }
             Change::Storage(plan) => self.storage = plan.clone(),
         }
@@ -64,13 +64,13 @@
     }
 
     /// Whether a change built on `base` may have been taken so long ago that it is no longer remembered.
-    pub fn has_forgotten(&self, base: Revision) -> bool {
-        let oldest = self.accepted.first().filter(|_| self.accepted.len() >= REMEMBERED_CHANGES);
+    pub fn predates_history(&self, base: Revision) -> bool {
+        let oldest = self.accepted.first().filter(|_| self.accepted.len() >= ACCEPTED_CHANGES_MAX);
         oldest.is_some_and(|oldest| base < oldest.base)
     }
 }
 
 fn digest(write: &Write) -> u64 {
     let bytes = borsh::to_vec(&write.change).unwrap_or_default();
-    xxh3_64_with_seed(&bytes, write.follows ^ write.sequence)
+    xxh3_64_with_seed(&bytes, write.base_digest ^ write.sequence)
 }
--- a/crates/onyxstile-system/src/controller.rs
+++ b/crates/onyxstile-system/src/controller.rs
@@ -9,19 +9,19 @@
 //! of the electors, and a new view begins with the newest state among a majority's promises. The electorate does not
 //! shrink with the chain, so a machine that missed writes and one that holds them are enough to go on.
 
+mod accessors;
 mod agreement;
+mod bootstrap;
 mod chain;
 mod events;
-mod founding;
-mod help;
 mod membership;
 mod operations;
-mod position;
-mod settlement;
+mod stability;
 mod timers;
+mod view_transfer;
 
 pub use events::{Effect, Input};
-pub use membership::{Places, desired};
+pub use membership::{Places, next_membership};
 pub use operations::{Evaluation, evaluate};
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -30,13 +30,15 @@
 use std::time::Duration;
 
 use crate::clock::Instant;
-use crate::control::{ControlState, Durable, ElectorId, Life, Message, Operation, Outcome, Token, Write};
+use crate::control::{
+    ControlState, Durable, ElectorId, Incarnation, Message, Operation, Outcome, Token, Write,
+};
 use crate::tolerance::{Place, Tolerance};
 
 /// A write that its successor has not acknowledged goes again after this time.
-const RESEND_AFTER: Duration = Duration::from_millis(150);
+const RESEND_INTERVAL: Duration = Duration::from_millis(150);
 /// An operation without an outcome is forgotten after this time.
-const OPERATION_LIFETIME: Duration = Duration::from_secs(4);
+const OPERATION_TIMEOUT: Duration = Duration::from_secs(4);
 
 #[derive(Debug, Clone)]
 struct PendingWrite {
@@ -47,7 +49,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Check {
+struct PendingConfirmation {
     nonce: u64,
     view: u64,
     confirmed: Vec<ElectorId>,
@@ -60,7 +62,7 @@
 #[derive(Debug, Clone)]
 pub struct Controller {
     id: ElectorId,
-    life: Life,
+    incarnation: Incarnation,
     tolerance: Tolerance,
     durable: Durable,
     live: Vec<ElectorId>,
@@ -68,21 +70,21 @@
     places: Places,
     started: Instant,
     committed: u64,
-    settled: ControlState,
+    stable: ControlState,
     /// How far the disks of others have come in the installed view, as they said in this life.
     written: BTreeMap<ElectorId, u64>,
     proposal: Option<agreement::Proposal>,
     round: u64,
-    wanted_since: Option<Instant>,
+    view_change_since: Option<Instant>,
     write: Option<PendingWrite>,
     /// The write that made the newest state, if it was made in this life.
     last_write: Option<Rc<Write>>,
     queue: VecDeque<(Token, Operation, Instant)>,
     forwarded: HashMap<u64, Instant>,
-    checks: Vec<Check>,
+    pending_confirmations: Vec<PendingConfirmation>,
     nonce: u64,
     /// When a machine that lacks the view was sent it last.
-    helped: HashMap<Ipv4Addr, Instant>,
+    view_sent_at: HashMap<Ipv4Addr, Instant>,
     next_status: Instant,
     loopback: VecDeque<Message>,
     effects: Vec<Effect>,
@@ -90,29 +92,31 @@
 
 impl Controller {
     /// A controller with what its disk holds; `life` is drawn anew for each start.
-    pub fn new(ip: Ipv4Addr, durable: Durable, tolerance: Tolerance, life: Life, now: Instant) -> Controller {
-        let settled = durable.view.as_ref().map_or_else(ControlState::default, |view| view.state.clone());
+    pub fn new(
+        ip: Ipv4Addr, durable: Durable, tolerance: Tolerance, incarnation: Incarnation, now: Instant,
+    ) -> Controller {
+        let stable = durable.view.as_ref().map_or_else(ControlState::default, |view| view.state.clone());
         Controller {
             id: ElectorId { ip: ip.octets(), disk: durable.disk },
-            life,
+            incarnation,
             tolerance,
             durable,
             live: Vec::new(),
             dead_storage: Vec::new(),
             places: Places::new(),
             started: now,
-            committed: settled.sequence,
-            settled,
+            committed: stable.sequence,
+            stable,
             written: BTreeMap::new(),
             proposal: None,
             round: 0,
-            wanted_since: None,
+            view_change_since: None,
             write: None,
             last_write: None,
-            helped: HashMap::new(),
+            view_sent_at: HashMap::new(),
             queue: VecDeque::new(),
             forwarded: HashMap::new(),
-            checks: Vec::new(),
+            pending_confirmations: Vec::new(),
             nonce: 0,
             next_status: now,
             loopback: VecDeque::new(),
@@ -121,7 +125,7 @@
     }
 
     /// The same controller on a machine that stands at `place`.
-    pub fn placed(mut self, place: Place) -> Controller {
+    pub fn with_place(mut self, place: Place) -> Controller {
         self.places.insert(self.id.ip, place);
         self
     }
@@ -138,7 +142,7 @@
             Input::Message { from, message } => self.receive(now, from, message),
             Input::Operation { number, operation } => {
                 let token = self.token(number);
-                self.forwarded.insert(number, now + OPERATION_LIFETIME);
+                self.forwarded.insert(number, now + OPERATION_TIMEOUT);
                 self.route(now, token, operation);
             }
             Input::Live(live) => {
@@ -158,8 +162,8 @@
     fn receive(&mut self, now: Instant, from: Ipv4Addr, message: Message) {
         match message {
             Message::Status { from: id, view, committed, written } => {
-                self.heard_status(now, id, view, committed);
-                self.heard_written(id, view, written);
+                self.receive_status(now, id, view, committed);
+                self.receive_written(id, view, written);
             }
             Message::Installed(view) => self.install(now, view),
             Message::Prepare { view, ballot, sequence } => self.prepare(now, from, view, ballot, sequence),
@@ -171,8 +175,10 @@
             Message::Accepted { from: id, view, ballot } => self.accepted(now, id, view, ballot),
             Message::Apply { view, written } => self.apply(from, view, written),
             Message::Applied { view, sequence } => self.applied(now, view, sequence),
-            Message::Confirm { view, life, nonce } => self.confirm(now, from, view, life, nonce),
-            Message::Confirmed { from: id, view, life, nonce } if life == self.life => {
+            Message::Confirm { view, incarnation, nonce } => {
+                self.confirm(now, from, view, incarnation, nonce)
+            }
+            Message::Confirmed { from: id, view, incarnation, nonce } if incarnation == self.incarnation => {
                 self.confirmed(id, view, nonce);
             }
             // It answers a question of an earlier life.
@@ -183,14 +189,14 @@
     }
 
     fn token(&self, number: u64) -> Token {
-        Token { origin: self.id.ip, life: self.life, number }
+        Token { origin: self.id.ip, incarnation: self.incarnation, number }
     }
 
     /// Tells how an operation ended. What an earlier life waited for nobody waits for any more.
     fn finish(&mut self, token: Token, outcome: Outcome) {
         if token.origin != self.id.ip {
             self.send(token.origin.into(), Message::Outcome { token, outcome });
-        } else if token.life == self.life && self.forwarded.remove(&token.number).is_some() {
+        } else if token.incarnation == self.incarnation && self.forwarded.remove(&token.number).is_some() {
             self.effects.push(Effect::Reply { number: token.number, outcome });
         }
     }
@@ -199,7 +205,7 @@
     fn commit(&mut self, sequence: u64) {
         self.committed = self.committed.max(sequence);
         if self.committed >= self.durable.state.sequence {
-            self.settled = self.durable.state.clone();
+            self.stable = self.durable.state.clone();
         }
     }
 
--- a/crates/onyxstile-system/src/controller/position.rs
+++ b/crates/onyxstile-system/src/controller/accessors.rs
@@ -18,12 +18,12 @@
 
     /// The newest state that no later view can lack; `None` where no view has taken this machine in.
     pub fn committed_state(&self) -> Option<&ControlState> {
-        self.durable.view.as_ref().map(|_| &self.settled)
+        self.durable.view.as_ref().map(|_| &self.stable)
     }
 
     /// Whether no later view can lack anything that this controller has on its disk.
-    pub fn is_settled(&self) -> bool {
-        self.durable.view.is_some() && self.settled.sequence == self.durable.state.sequence
+    pub fn is_stable(&self) -> bool {
+        self.durable.view.is_some() && self.stable.sequence == self.durable.state.sequence
     }
 
     /// Whether this controller is the head of a chain that still writes.
--- a/crates/onyxstile-system/src/controller/agreement.rs
+++ b/crates/onyxstile-system/src/controller/agreement.rs
@@ -5,20 +5,20 @@
 use std::time::Duration;
 
 use super::Controller;
-use super::membership::{Places, desired};
+use super::membership::{Places, next_membership};
 use crate::clock::Instant;
 use crate::control::{Ballot, ControlState, ElectorId, Message, View};
 use crate::tolerance::Tolerance;
 
 /// A proposal that has not been decided is tried again after this time.
-const PROPOSAL_LIFETIME: Duration = Duration::from_millis(400);
+const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(400);
 /// Each elector waits this much longer than the one before it until it proposes.
 const STAGGER: Duration = Duration::from_millis(250);
 /// How long a view must be wished for before it is proposed.
-const PATIENCE: Duration = Duration::from_millis(40);
+const PROPOSAL_DELAY: Duration = Duration::from_millis(40);
 /// How long a controller that starts gives electors to show themselves before it proposes a view without them: the time in
 /// which membership would hold a silent one dead.
-const RETURN_PATIENCE: Duration = Duration::from_millis(1000);
+const RESTART_GRACE: Duration = Duration::from_millis(1000);
 
 /// What one elector promised with: what it has accepted, and the newest state that it has written if the proposer has none
 /// as new.
@@ -41,21 +41,23 @@
 
 impl Controller {
     /// Proposes a view where one is needed: the first live elector at once, each later one after a pause.
-    pub(super) fn tend_view(&mut self, now: Instant) {
+    pub(super) fn maintain_view(&mut self, now: Instant) {
         let Some(view) = self.durable.view.clone() else { return };
         let is_needed =
-            self.is_wedged() || desired(&view, &self.alive(), self.tolerance, &self.places).is_some();
-        let Some(rank) = self.rank(&view).filter(|_| is_needed && !self.awaits_return(now, &view)) else {
-            self.wanted_since = None;
+            self.is_wedged() || next_membership(&view, &self.alive(), self.tolerance, &self.places).is_some();
+        let Some(rank) =
+            self.rank(&view).filter(|_| is_needed && !self.awaits_restarted_electors(now, &view))
+        else {
+            self.view_change_since = None;
             self.proposal = None;
             return;
         };
-        let since = *self.wanted_since.get_or_insert(now);
-        let is_due = now.since(since) >= PATIENCE + STAGGER * rank;
+        let since = *self.view_change_since.get_or_insert(now);
+        let is_due = now.since(since) >= PROPOSAL_DELAY + STAGGER * rank;
         let is_open = self
             .proposal
             .as_ref()
-            .is_some_and(|proposal| now.since(proposal.begun) < PROPOSAL_LIFETIME + STAGGER * rank);
+            .is_some_and(|proposal| now.since(proposal.begun) < PROPOSAL_TIMEOUT + STAGGER * rank);
         if is_due && !is_open {
             self.propose(now, &view);
         }
@@ -64,9 +66,9 @@
     /// Whether this machine has just started and has not met all electors in this life. After a loss of power all return
     /// within moments of one another; a view without those that are on their way would be followed by another that takes
     /// them in. Meanwhile relays go on in the view that was (`settlement`).
-    fn awaits_return(&self, now: Instant, view: &View) -> bool {
+    fn awaits_restarted_electors(&self, now: Instant, view: &View) -> bool {
         let is_met = |id: &ElectorId| self.places.contains_key(&id.ip) || id.ip == self.id.ip;
-        now.since(self.started) < RETURN_PATIENCE && !view.electors.iter().all(is_met)
+        now.since(self.started) < RESTART_GRACE && !view.electors.iter().all(is_met)
     }
 
     /// This machine and all that membership holds alive.
@@ -136,8 +138,8 @@
         let alive = self.alive();
         let Some(proposal) = &mut self.proposal else { return };
         let is_ours = proposal.view == view && proposal.ballot == ballot && view == current.number + 1;
-        let is_known = proposal.promises.iter().any(|promised| promised.from == from);
-        if !is_ours || is_known || proposal.value.is_some() || !current.electors.contains(&from) {
+        let is_duplicate = proposal.promises.iter().any(|promised| promised.from == from);
+        if !is_ours || is_duplicate || proposal.value.is_some() || !current.electors.contains(&from) {
             return;
         }
         proposal.promises.push(Promised { from, accepted, state });
@@ -145,7 +147,7 @@
             return;
         }
         let own = &self.durable.state;
-        let value = Rc::new(choose(&current, proposal, own, &alive, self.tolerance, &self.places));
+        let value = Rc::new(choose_view(&current, proposal, own, &alive, self.tolerance, &self.places));
         proposal.value = Some(value.clone());
         for elector in &current.electors {
             self.send(elector.address(), Message::Accept { ballot, value: value.clone() });
@@ -207,25 +209,25 @@
         self.durable.promised = Ballot::default();
         self.durable.accepted = None;
         self.committed = view.state.sequence;
-        self.settled = view.state.clone();
+        self.stable = view.state.clone();
         self.durable.view = Some(view);
         self.last_write = None;
         self.written.clear();
-        self.helped.clear();
+        self.view_sent_at.clear();
         self.proposal = None;
-        self.wanted_since = None;
+        self.view_change_since = None;
         self.round = 0;
         self.persist();
         self.restart_operations(now);
     }
 
-    pub(super) fn heard_status(&mut self, now: Instant, from: ElectorId, view: u64, committed: u64) {
+    pub(super) fn receive_status(&mut self, now: Instant, from: ElectorId, view: u64, committed: u64) {
         let installed = self.installed();
         if view < installed {
-            self.help(now, from.address());
+            self.send_view(now, from.address());
         }
-        let is_chained = self.durable.view.as_ref().is_some_and(|view| view.chain.contains(&from));
-        if view == installed && is_chained && committed <= self.durable.state.sequence {
+        let is_chain_member = self.durable.view.as_ref().is_some_and(|view| view.chain.contains(&from));
+        if view == installed && is_chain_member && committed <= self.durable.state.sequence {
             self.commit(committed);
         }
     }
@@ -233,7 +235,7 @@
 
 /// The view to propose: what was accepted under the highest ballot, or the desired one with the newest state of those who
 /// promised and of the proposer, which has told its own.
-fn choose(
+fn choose_view(
     current: &View, proposal: &Proposal, own: &ControlState, alive: &[ElectorId], tolerance: Tolerance,
     places: &Places,
 ) -> View {
@@ -244,7 +246,7 @@
     let promised = proposal.promises.iter().filter_map(|promised| promised.state.as_ref());
     let newest = promised.chain([own]).max_by_key(|state| state.sequence);
     let state = newest.cloned().unwrap_or_else(|| current.state.clone());
-    let (electors, chain) = desired(current, alive, tolerance, places)
+    let (electors, chain) = next_membership(current, alive, tolerance, places)
         .unwrap_or_else(|| (current.electors.clone(), current.chain.clone()));
     View { number: current.number + 1, electors, chain, state }
 }
--- a/crates/onyxstile-system/src/controller/chain.rs
+++ b/crates/onyxstile-system/src/controller/chain.rs
@@ -2,11 +2,11 @@
 
 use std::net::Ipv4Addr;
 
-use super::{Controller, Effect, RESEND_AFTER};
+use super::{Controller, Effect, RESEND_INTERVAL};
 use crate::clock::Instant;
 use std::rc::Rc;
 
-use crate::control::{ElectorId, Message, Write, Written};
+use crate::control::{ChainUpdate, ElectorId, Message, Write};
 
 impl Controller {
     fn neighbour(&self, step: isize) -> Option<ElectorId> {
@@ -17,7 +17,7 @@
     }
 
     /// Whether this controller stands in the chain of the installed view.
-    pub(super) fn is_chained(&self) -> bool {
+    pub(super) fn is_chain_member(&self) -> bool {
         self.durable.view.as_ref().is_some_and(|view| view.chain.contains(&self.id))
     }
 
@@ -26,7 +26,7 @@
     }
 
     /// A write from the predecessor. One that came before is passed on again, for what followed it may have been lost.
-    pub(super) fn apply(&mut self, from: Ipv4Addr, view: u64, written: Written) {
+    pub(super) fn apply(&mut self, from: Ipv4Addr, view: u64, written: ChainUpdate) {
         let installed = self.installed();
         if view != installed {
             let message = self.status();
@@ -37,21 +37,21 @@
         if self.is_wedged() || !is_predecessor {
             return;
         }
-        let written_before = written.sequence() == self.durable.state.sequence;
+        let is_duplicate = written.sequence() == self.durable.state.sequence;
         let is_next = written.sequence() == self.durable.state.sequence + 1;
-        if is_next && !self.take_write(written) {
+        if is_next && !self.apply_update(written) {
             log::error!("view {view}: a write that follows another state than this machine's");
             return;
         }
-        if is_next || written_before {
-            self.pass_down();
+        if is_next || is_duplicate {
+            self.send_to_successor();
         }
     }
 
-    fn take_write(&mut self, written: Written) -> bool {
+    fn apply_update(&mut self, written: ChainUpdate) -> bool {
         match written {
-            Written::Write(write) => self.append(write),
-            Written::State(state) => {
+            ChainUpdate::Write(write) => self.append(write),
+            ChainUpdate::State(state) => {
                 self.durable.state = state;
                 self.last_write = None;
                 self.persist();
@@ -71,14 +71,14 @@
     }
 
     /// Sends the newest write to the successor; the tail commits it.
-    pub(super) fn pass_down(&mut self) {
+    pub(super) fn send_to_successor(&mut self) {
         let view = self.installed();
         let sequence = self.durable.state.sequence;
         match self.neighbour(1) {
             Some(successor) => {
                 let written = match self.last_write.clone() {
-                    Some(write) => Written::Write(write),
-                    None => Written::State(self.durable.state.clone()),
+                    Some(write) => ChainUpdate::Write(write),
+                    None => ChainUpdate::State(self.durable.state.clone()),
                 };
                 self.send(successor.address(), Message::Apply { view, written });
             }
@@ -89,14 +89,14 @@
     }
 
     pub(super) fn applied(&mut self, now: Instant, view: u64, sequence: u64) {
-        if view != self.installed() || !self.is_chained() || sequence > self.durable.state.sequence {
+        if view != self.installed() || !self.is_chain_member() || sequence > self.durable.state.sequence {
             return;
         }
         self.commit(sequence);
         if let Some(predecessor) = self.neighbour(-1) {
             self.send(predecessor.address(), Message::Applied { view, sequence });
         }
-        self.settle_write(now);
+        self.complete_write(now);
     }
 
     /// Sends a write again that nobody has acknowledged.
@@ -104,12 +104,12 @@
         if self.is_wedged() {
             return;
         }
-        let is_due = self.write.as_ref().is_some_and(|write| now.since(write.sent) >= RESEND_AFTER);
+        let is_due = self.write.as_ref().is_some_and(|write| now.since(write.sent) >= RESEND_INTERVAL);
         if is_due {
             if let Some(write) = &mut self.write {
                 write.sent = now;
             }
-            self.pass_down();
+            self.send_to_successor();
         }
     }
 }
--- a/crates/onyxstile-system/src/controller/membership.rs
+++ b/crates/onyxstile-system/src/controller/membership.rs
@@ -12,12 +12,12 @@
 ///
 /// A machine with another disk takes the place of what it was; a newcomer takes that of a dead machine; more electors
 /// than a group holds are kept only while all of them live and no zone or region that may be lost holds too many.
-pub fn desired(
+pub fn next_membership(
     view: &View, alive: &[ElectorId], tolerance: Tolerance, places: &Places,
 ) -> Option<(Vec<ElectorId>, Vec<ElectorId>)> {
     let electors = electors(view, alive, tolerance, places);
     let chain = chain(view, &electors, alive);
-    if chain.len() < shortest_chain(electors.len(), tolerance) {
+    if chain.len() < min_chain_length(electors.len(), tolerance) {
         return None;
     }
     (electors != view.electors || chain != view.chain).then_some((electors, chain))
@@ -27,19 +27,19 @@
     let mut electors = view.electors.clone();
     for newcomer in alive.iter().filter(|id| !view.electors.contains(id)) {
         let same_machine = electors.iter().position(|id| id.ip == newcomer.ip);
-        let vacated = same_machine.or_else(|| vacancy(&electors, alive, newcomer, places));
-        match vacated {
+        let replaced = same_machine.or_else(|| replaceable_elector(&electors, alive, newcomer, places));
+        match replaced {
             Some(index) => electors[index] = *newcomer,
             None => electors.push(*newcomer),
         }
     }
-    let enough = tolerance.group_size();
-    while electors.len() > enough {
+    let group_size = tolerance.group_size();
+    while electors.len() > group_size {
         let Some(index) = electors.iter().position(|id| !alive.contains(id)) else { break };
         electors.remove(index);
     }
-    while electors.len() > enough && !keeps_majority(&electors, tolerance, places) {
-        let index = in_largest_crowd(&electors, tolerance, places);
+    while electors.len() > group_size && !keeps_majority(&electors, tolerance, places) {
+        let index = index_in_largest_domain(&electors, tolerance, places);
         electors.remove(index);
     }
     electors
@@ -47,13 +47,13 @@
 
 /// The dead elector whose place a newcomer takes: one that stands where it does, for a successor mostly comes there, else
 /// any. Which of several dead ones is gone for good nobody can tell.
-fn vacancy(
+fn replaceable_elector(
     electors: &[ElectorId], alive: &[ElectorId], newcomer: &ElectorId, places: &Places,
 ) -> Option<usize> {
     let is_dead = |id: &ElectorId| !alive.contains(id);
     let place = places.get(&newcomer.ip);
-    let is_here = |id: &ElectorId| place.is_some() && places.get(&id.ip) == place;
-    let nearby = electors.iter().position(|id| is_dead(id) && is_here(id));
+    let is_same_place = |id: &ElectorId| place.is_some() && places.get(&id.ip) == place;
+    let nearby = electors.iter().position(|id| is_dead(id) && is_same_place(id));
     nearby.or_else(|| electors.iter().position(is_dead))
 }
 
@@ -64,16 +64,16 @@
 }
 
 /// The last elector of the zone with the most of them; where regions may be lost, of the region with the most first.
-fn in_largest_crowd(electors: &[ElectorId], tolerance: Tolerance, places: &Places) -> usize {
+fn index_in_largest_domain(electors: &[ElectorId], tolerance: Tolerance, places: &Places) -> usize {
     let unknown = Place::default();
     let place = |id: &ElectorId| places.get(&id.ip).unwrap_or(&unknown);
-    let crowd = |id: &ElectorId| {
+    let domain_sizes = |id: &ElectorId| {
         let here = place(id);
         let region = electors.iter().filter(|other| place(other).region == here.region).count();
         let zone = electors.iter().filter(|other| place(other) == here).count();
         (if tolerance.regions > 0 { region } else { 0 }, zone)
     };
-    let last = |index: &usize| (crowd(&electors[*index]), *index);
+    let last = |index: &usize| (domain_sizes(&electors[*index]), *index);
     (0..electors.len()).max_by_key(last).unwrap_or(0)
 }
 
@@ -88,7 +88,7 @@
 
 /// The fewest members that a chain may have: enough copies for the losses that are tolerated, and enough to meet any
 /// majority of the electors.
-fn shortest_chain(electors: usize, tolerance: Tolerance) -> usize {
+fn min_chain_length(electors: usize, tolerance: Tolerance) -> usize {
     let majority = electors / 2 + 1;
     (tolerance.losses() + 1).max(electors + 1 - majority)
 }
--- a/crates/onyxstile-system/src/controller/operations.rs
+++ b/crates/onyxstile-system/src/controller/operations.rs
@@ -3,12 +3,12 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
-use super::{Check, Controller, OPERATION_LIFETIME, PendingWrite};
+use super::{Controller, OPERATION_TIMEOUT, PendingConfirmation, PendingWrite};
 use crate::clock::Instant;
 use crate::configuration::{self, ConfigurationError, Revision};
 use crate::control::{
-    AcceptedChange, Change, ControlState, ElectorId, Life, Message, Operation, Outcome, StoredConfiguration,
-    Token,
+    AcceptedChange, Change, ControlState, ElectorId, Incarnation, Message, Operation, Outcome,
+    StoredConfiguration, Token,
 };
 use crate::storage_plan::RetireRefusal;
 use crate::tolerance::Tolerance;
@@ -19,7 +19,7 @@
     /// It makes this change.
     Write(Change),
     /// It was taken before, which no later event can change.
-    TakenBefore,
+    AlreadyApplied,
     /// It ends like this, if the state is still the newest.
     Answer(Outcome),
 }
@@ -44,7 +44,7 @@
         } else if operation.is_read() {
             self.read(now, token, &operation);
         } else {
-            self.queue.push_back((token, operation, now + OPERATION_LIFETIME));
+            self.queue.push_back((token, operation, now + OPERATION_TIMEOUT));
             self.begin_writes(now);
         }
     }
@@ -55,7 +55,7 @@
             return;
         }
         if let Evaluation::Answer(outcome) = self.evaluate(operation) {
-            self.answer_once_confirmed(now, token, outcome);
+            self.reply_when_confirmed(now, token, outcome);
         }
     }
 
@@ -67,14 +67,14 @@
     pub(super) fn begin_writes(&mut self, now: Instant) {
         while self.write.is_none() && self.is_head() {
             if self.durable.state.sequence > self.committed {
-                self.adopt_unsettled(now);
+                self.adopt_uncommitted(now);
                 return;
             }
             let Some((token, operation, _)) = self.queue.pop_front() else { return };
             let evaluation = self.evaluate(&operation);
             match evaluation {
-                Evaluation::TakenBefore => self.finish(token, Outcome::Done),
-                Evaluation::Answer(outcome) => self.answer_once_confirmed(now, token, outcome),
+                Evaluation::AlreadyApplied => self.finish(token, Outcome::Done),
+                Evaluation::Answer(outcome) => self.reply_when_confirmed(now, token, outcome),
                 Evaluation::Write(change) => self.begin_write(now, vec![token], operation, change),
             }
         }
@@ -85,21 +85,21 @@
         let sequence = write.sequence;
         self.append(Rc::new(write));
         self.write = Some(PendingWrite { tokens, operation, sequence, sent: now });
-        self.pass_down();
+        self.send_to_successor();
     }
 
     /// A write that this head has on its disk from before a restart is settled before any other.
-    fn adopt_unsettled(&mut self, now: Instant) {
+    fn adopt_uncommitted(&mut self, now: Instant) {
         let sequence = self.durable.state.sequence;
         let operation = Operation::GetConfiguration;
         self.write = Some(PendingWrite { tokens: Vec::new(), operation, sequence, sent: now });
-        self.pass_down();
+        self.send_to_successor();
     }
 
     /// Ends the write under way if the tail has it, and begins the next.
-    pub(super) fn settle_write(&mut self, now: Instant) {
-        let is_settled = self.write.as_ref().is_some_and(|write| write.sequence <= self.committed);
-        if is_settled && let Some(write) = self.write.take() {
+    pub(super) fn complete_write(&mut self, now: Instant) {
+        let is_committed = self.write.as_ref().is_some_and(|write| write.sequence <= self.committed);
+        if is_committed && let Some(write) = self.write.take() {
             for token in write.tokens {
                 self.finish(token, Outcome::Done);
             }
@@ -109,7 +109,7 @@
 
     /// A new view: what was under way is looked at anew against the state that the view begins with.
     pub(super) fn restart_operations(&mut self, now: Instant) {
-        self.checks.clear();
+        self.pending_confirmations.clear();
         let mut waiting: Vec<(Token, Operation)> = Vec::new();
         if let Some(write) = self.write.take() {
             waiting.extend(write.tokens.into_iter().map(|token| (token, write.operation.clone())));
@@ -117,7 +117,7 @@
         waiting.extend(self.queue.drain(..).map(|(token, operation, _)| (token, operation)));
         for (token, operation) in waiting {
             if self.is_head() {
-                self.queue.push_back((token, operation, now + OPERATION_LIFETIME));
+                self.queue.push_back((token, operation, now + OPERATION_TIMEOUT));
             } else {
                 self.finish(token, Outcome::Unknown);
             }
@@ -126,24 +126,36 @@
     }
 
     /// Tells an outcome once a majority says that no newer view can have been decided when it was asked for.
-    fn answer_once_confirmed(&mut self, now: Instant, token: Token, outcome: Outcome) {
+    fn reply_when_confirmed(&mut self, now: Instant, token: Token, outcome: Outcome) {
         let Some(view) = self.durable.view.clone() else { return };
         self.nonce += 1;
         let nonce = self.nonce;
-        let expires = now + OPERATION_LIFETIME;
+        let expires = now + OPERATION_TIMEOUT;
         let confirmed = Vec::new();
-        self.checks.push(Check { nonce, view: view.number, confirmed, token, outcome, expires });
+        self.pending_confirmations.push(PendingConfirmation {
+            nonce,
+            view: view.number,
+            confirmed,
+            token,
+            outcome,
+            expires,
+        });
         for elector in &view.electors {
-            self.send(elector.address(), Message::Confirm { view: view.number, life: self.life, nonce });
+            self.send(
+                elector.address(),
+                Message::Confirm { view: view.number, incarnation: self.incarnation, nonce },
+            );
         }
     }
 
-    pub(super) fn confirm(&mut self, now: Instant, from: Ipv4Addr, view: u64, life: Life, nonce: u64) {
+    pub(super) fn confirm(
+        &mut self, now: Instant, from: Ipv4Addr, view: u64, incarnation: Incarnation, nonce: u64,
+    ) {
         if view == self.installed() && !self.is_wedged() {
             let id = self.id;
-            self.send(from, Message::Confirmed { from: id, view, life, nonce });
+            self.send(from, Message::Confirmed { from: id, view, incarnation, nonce });
         } else if view < self.installed() {
-            self.help(now, from);
+            self.send_view(now, from);
         }
     }
 
@@ -152,17 +164,20 @@
         if view != current.number || !current.electors.contains(&from) {
             return;
         }
-        let Some(index) = self.checks.iter().position(|check| check.nonce == nonce && check.view == view)
+        let Some(index) = self
+            .pending_confirmations
+            .iter()
+            .position(|pending| pending.nonce == nonce && pending.view == view)
         else {
             return;
         };
-        let check = &mut self.checks[index];
-        if !check.confirmed.contains(&from) {
-            check.confirmed.push(from);
+        let pending = &mut self.pending_confirmations[index];
+        if !pending.confirmed.contains(&from) {
+            pending.confirmed.push(from);
         }
-        if check.confirmed.len() >= current.majority() {
-            let check = self.checks.swap_remove(index);
-            self.finish(check.token, check.outcome);
+        if pending.confirmed.len() >= current.majority() {
+            let pending = self.pending_confirmations.swap_remove(index);
+            self.finish(pending.token, pending.outcome);
         }
     }
 }
@@ -190,7 +205,7 @@
 fn retire(state: &ControlState, name: &str, tolerance: Tolerance, dead: &[String]) -> Evaluation {
     match state.storage.retire(name, tolerance, dead) {
         Ok(Some(plan)) => Evaluation::Write(Change::Storage(Rc::new(plan))),
-        Ok(None) => Evaluation::TakenBefore,
+        Ok(None) => Evaluation::AlreadyApplied,
         Err(RetireRefusal::Unknown) => Evaluation::Answer(Outcome::NotFound),
         Err(RetireRefusal::TooFew) => Evaluation::Answer(Outcome::TooFew),
         // The dead ones may return, or their successors come; a change ends.
@@ -204,10 +219,10 @@
     };
     let accepted = AcceptedChange { base, digest: xxhash_rust::xxh3::xxh3_128(body) };
     if state.accepted.contains(&accepted) {
-        return Evaluation::TakenBefore;
+        return Evaluation::AlreadyApplied;
     }
     let current = state.revision();
-    if base > current || state.has_forgotten(base) {
+    if base > current || state.predates_history(base) {
         // The version that it is built on may be on its way, or it was itself taken and is no longer remembered: a refusal
         // would be a guess.
         return Evaluation::Answer(Outcome::Unknown);
@@ -215,7 +230,7 @@
     if base != current {
         return Evaluation::Answer(Outcome::Conflict(current));
     }
-    match check(body, current) {
+    match validate_configuration(body, current) {
         Ok(revision) => {
             let configuration = Rc::new(StoredConfiguration { revision, body: body.to_vec() });
             Evaluation::Write(Change::Configuration { configuration, accepted })
@@ -224,7 +239,7 @@
     }
 }
 
-fn check(body: &[u8], current: Revision) -> Result<Revision, ConfigurationError> {
+fn validate_configuration(body: &[u8], current: Revision) -> Result<Revision, ConfigurationError> {
     let revision = configuration::parse(body)?.revision;
     if revision <= current {
         return Err(ConfigurationError::OldRevision(revision, current));
--- a/crates/onyxstile-system/src/controller/settlement.rs
+++ b/crates/onyxstile-system/src/controller/stability.rs
@@ -25,7 +25,7 @@
 
     /// Takes in how far an elector's disk has come; one that is heard for the first time is answered at once, for it may
     /// have started a moment ago.
-    pub(super) fn heard_written(&mut self, from: ElectorId, view: u64, written: u64) {
+    pub(super) fn receive_written(&mut self, from: ElectorId, view: u64, written: u64) {
         let is_elector = self.durable.view.as_ref().is_some_and(|view| view.electors.contains(&from));
         if view != self.installed() || !is_elector || from == self.id {
             return;
@@ -37,14 +37,14 @@
             let status = self.status();
             self.send(from.address(), status);
         }
-        self.settle();
+        self.update_stable();
     }
 
     /// Settles what is on the disks of a majority.
-    fn settle(&mut self) {
+    fn update_stable(&mut self) {
         let Some(view) = &self.durable.view else { return };
         let newest = self.durable.state.sequence;
-        if self.settled.sequence == newest || !view.electors.contains(&self.id) {
+        if self.stable.sequence == newest || !view.electors.contains(&self.id) {
             return;
         }
         let holds = |id: &&ElectorId| {
@@ -53,7 +53,7 @@
         let holders = view.electors.iter().filter(holds).count();
         let needed = view.majority().max(self.tolerance.losses() + 1);
         if holders >= needed {
-            self.settled = self.durable.state.clone();
+            self.stable = self.durable.state.clone();
         }
     }
 }
--- a/crates/onyxstile-system/src/controller/timers.rs
+++ b/crates/onyxstile-system/src/controller/timers.rs
@@ -8,22 +8,22 @@
 use crate::control::{ElectorId, Outcome};
 
 /// How often a controller says how far it is.
-const STATUS_EVERY: Duration = Duration::from_millis(200);
+const STATUS_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Controller {
     /// Does what is due at `now`.
     pub(super) fn tick(&mut self, now: Instant) {
         if now >= self.next_status {
-            self.next_status = now + STATUS_EVERY;
-            self.say_status();
+            self.next_status = now + STATUS_INTERVAL;
+            self.broadcast_status();
         }
         self.expire(now);
         self.begin_writes(now);
         self.resend(now);
-        self.tend_view(now);
+        self.maintain_view(now);
     }
 
-    fn say_status(&mut self) {
+    fn broadcast_status(&mut self) {
         let message = self.status();
         let mut peers: Vec<Ipv4Addr> = self.live.iter().map(ElectorId::address).collect();
         if let Some(view) = &self.durable.view {
@@ -39,7 +39,7 @@
 
     fn expire(&mut self, now: Instant) {
         self.queue.retain(|(_, _, expires)| *expires > now);
-        self.checks.retain(|check| check.expires > now);
+        self.pending_confirmations.retain(|pending| pending.expires > now);
         let expired: Vec<u64> = self
             .forwarded
             .iter()
--- a/crates/onyxstile-system/src/controller/help.rs
+++ b/crates/onyxstile-system/src/controller/view_transfer.rs
@@ -8,15 +8,15 @@
 use crate::control::Message;
 
 /// A machine that lacks the view is sent it again after this time, and a second more for each so many bytes of state.
-const HELP_AGAIN: Duration = Duration::from_millis(100);
-const HELP_BYTES_A_SECOND: u64 = 4 * 1024 * 1024;
+const VIEW_RESEND_INTERVAL: Duration = Duration::from_millis(100);
+const VIEW_BYTES_PER_SECOND: u64 = 4 * 1024 * 1024;
 
 impl Controller {
     /// Whether `view` is the one after the installed one; helps whoever is behind, and asks for help otherwise.
     pub(super) fn is_next(&mut self, now: Instant, from: Ipv4Addr, view: u64) -> bool {
         let installed = self.installed();
         if view <= installed {
-            self.help(now, from);
+            self.send_view(now, from);
         } else if view > installed + 1 || installed == 0 {
             let message = self.status();
             self.send(from, message);
@@ -25,13 +25,14 @@
     }
 
     /// Sends the installed view to one that lacks it, not more often than it can be taken in.
-    pub(super) fn help(&mut self, now: Instant, to: Ipv4Addr) {
+    pub(super) fn send_view(&mut self, now: Instant, to: Ipv4Addr) {
         let Some(view) = self.durable.view.clone() else { return };
-        let pause = HELP_AGAIN + Duration::from_millis(view.state.bytes() * 1000 / HELP_BYTES_A_SECOND);
-        if self.helped.get(&to).is_some_and(|helped| now.since(*helped) < pause) {
+        let pause =
+            VIEW_RESEND_INTERVAL + Duration::from_millis(view.state.bytes() * 1000 / VIEW_BYTES_PER_SECOND);
+        if self.view_sent_at.get(&to).is_some_and(|view_sent_at| now.since(*view_sent_at) < pause) {
             return;
         }
-        self.helped.insert(to, now);
+        self.view_sent_at.insert(to, now);
         self.send(to, Message::Installed(view));
     }
 }
--- a/crates/onyxstile-system/src/known.rs
+++ b/crates/onyxstile-system/src/known.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Instant;
 use crate::evidence::Evidence;
-use crate::registry::{Instance, RELAYS_FORGET_AFTER};
+use crate::registry::{Instance, RELAY_TOMBSTONE_LIFETIME};
 use crate::wire::{Feed, Published};
 
 /// News, in the order in which it came.
@@ -79,8 +79,9 @@
     }
 
     fn forget(&mut self, now: Instant) {
-        let is_over =
-            |instance: &Instance, heard| instance.is_away() && now.since(heard) >= RELAYS_FORGET_AFTER;
+        let is_over = |instance: &Instance, heard| {
+            instance.is_unavailable() && now.since(heard) >= RELAY_TOMBSTONE_LIFETIME
+        };
         self.endpoints.retain(|_, (instance, heard)| !is_over(instance, *heard));
     }
 
--- a/crates/onyxstile-system/src/registry.rs
+++ b/crates/onyxstile-system/src/registry.rs
@@ -9,12 +9,12 @@
 //! Entries are soft, for endpoints repeat themselves. What isn't soft is a drain: an incarnation that has said that it
 //! leaves never comes back, whatever arrives later. Pure.
 
-mod copies;
+mod drain_sync;
 mod entry;
 mod instance;
 
-pub use copies::{Copies, holders_needed};
-pub use instance::{Instance, Stage, Told};
+pub use drain_sync::{DrainSync, replicas_needed};
+pub use instance::{Instance, RecordUpdate, Stage};
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -24,12 +24,12 @@
 
 /// Agents and proxies forget an incarnation that is away after this time: later than controllers do, so that none of these
 /// tells of it as of a new one.
-pub const RELAYS_FORGET_AFTER: Duration = Duration::from_secs(900);
+pub const RELAY_TOMBSTONE_LIFETIME: Duration = Duration::from_secs(900);
 /// Heartbeats that may be missed until an endpoint counts as silent.
 const MISSED_HEARTBEATS: u32 = 4;
 
 /// Lives of other controllers that are remembered as over; each is looked up where another controller still names it.
-const LIVES_OVER_MAX: usize = 64;
+const ENDED_ORIGINS_MAX: usize = 64;
 
 /// The endpoints that one controller knows.
 pub struct Registry {
@@ -38,15 +38,22 @@
     changes: u64,
     entries: HashMap<String, Entry>,
     /// Lives of other controllers that are over, the newest last.
-    over: VecDeque<u64>,
-    silence: Duration,
+    ended_origins: VecDeque<u64>,
+    silence_timeout: Duration,
 }
 
 impl Registry {
     /// An empty registry; `origin` tells this life of the controller apart from others.
     pub fn new(origin: u64, heartbeat: Duration) -> Registry {
-        let silence = heartbeat * MISSED_HEARTBEATS;
-        Registry { origin, counter: 0, changes: 0, entries: HashMap::new(), over: VecDeque::new(), silence }
+        let silence_timeout = heartbeat * MISSED_HEARTBEATS;
+        Registry {
+            origin,
+            counter: 0,
+            changes: 0,
+            entries: HashMap::new(),
+            ended_origins: VecDeque::new(),
+            silence_timeout,
+        }
     }
 
     /// Which life of which controller the counters belong to.
@@ -66,74 +73,75 @@
 
     /// Takes a heartbeat in that came here; true if others wait to learn of it.
     pub fn merge(&mut self, now: Instant, instance: Instance) -> bool {
-        self.take(now, instance, Source::Heard)
+        self.merge_from(now, instance, Source::Local)
     }
 
     /// Takes in what another controller tells; true if others wait to learn of it here.
-    pub fn merge_told(&mut self, now: Instant, told: Told) -> bool {
-        let source = match told.hearer {
-            Some(origin) if !self.over.contains(&origin) => Source::HeardBy(origin),
-            _ => Source::Kept,
+    pub fn merge_update(&mut self, now: Instant, update: RecordUpdate) -> bool {
+        let source = match update.owner {
+            Some(origin) if !self.ended_origins.contains(&origin) => Source::Remote(origin),
+            _ => Source::Unowned,
         };
-        self.take(now, told.instance, source)
+        self.merge_from(now, update.instance, source)
     }
 
-    fn take(&mut self, now: Instant, instance: Instance, source: Source) -> bool {
+    fn merge_from(&mut self, now: Instant, instance: Instance, source: Source) -> bool {
         let Some(entry) = self.entries.get_mut(&instance.id) else {
-            return self.hold(Entry { instance, counter: 0, heard: now, source });
+            return self.store(Entry { instance, counter: 0, updated_at: now, source });
         };
-        let held = &entry.instance;
-        if instance.sequence < held.sequence && instance.stage <= held.stage {
+        let current = &entry.instance;
+        if instance.sequence < current.sequence && instance.stage <= current.stage {
             return false;
         }
-        let is_later = instance.sequence > held.sequence;
-        let is_repeated = !is_later && !source.overrides(entry.source);
-        let source = source.following(entry.source, is_later);
-        let stage = instance.stage.max(held.stage);
-        let sequence = instance.sequence.max(held.sequence);
-        let content = if is_repeated { held.clone() } else { instance };
+        let is_newer = instance.sequence > current.sequence;
+        let is_repeated = !is_newer && !source.overrides(entry.source);
+        let source = source.merged(entry.source, is_newer);
+        let stage = instance.stage.max(current.stage);
+        let sequence = instance.sequence.max(current.sequence);
+        let content = if is_repeated { current.clone() } else { instance };
         let merged = Instance { stage, sequence, ..content };
-        let is_news = differs(&merged, held);
-        if is_news || source != entry.source {
+        let is_significant = is_significant_change(&merged, current);
+        if is_significant || source != entry.source {
             let counter = entry.counter;
             // Who hears it is told on with the next news, or the next time that somebody asks: nobody waits for that.
-            return self.hold(Entry { instance: merged, counter, heard: now, source }) && is_news;
+            return self.store(Entry { instance: merged, counter, updated_at: now, source })
+                && is_significant;
         }
         if !is_repeated {
-            entry.heard = now;
+            entry.updated_at = now;
             entry.instance = merged;
         }
         false
     }
 
     /// Holds a changed record; true if it is told on from here.
-    fn hold(&mut self, mut entry: Entry) -> bool {
+    fn store(&mut self, mut entry: Entry) -> bool {
         self.changes += 1;
-        let is_told = !entry.is_told_elsewhere();
-        if is_told {
+        let is_published = !entry.is_published_elsewhere();
+        if is_published {
             self.counter += 1;
             entry.counter = self.counter;
         }
         self.entries.insert(entry.instance.id.clone(), entry);
-        is_told
+        is_published
     }
 
     /// A life of another controller is over: nobody is known to hear what it heard.
     pub fn forget_origin(&mut self, now: Instant, origin: u64) {
-        if self.over.len() == LIVES_OVER_MAX {
-            self.over.pop_front();
+        if self.ended_origins.len() == ENDED_ORIGINS_MAX {
+            self.ended_origins.pop_front();
         }
-        self.over.push_back(origin);
-        for entry in self.entries.values_mut().filter(|entry| entry.source == Source::HeardBy(origin)) {
-            entry.source = Source::Kept;
-            entry.heard = now;
+        self.ended_origins.push_back(origin);
+        for entry in self.entries.values_mut().filter(|entry| entry.source == Source::Remote(origin)) {
+            entry.source = Source::Unowned;
+            entry.updated_at = now;
         }
     }
 
     /// An incarnation has left; one that was never heard of gets a record all the same.
     pub fn remove(&mut self, now: Instant, id: &str) -> Instance {
-        let known = self.entries.get(id).map(|entry| entry.instance.clone());
-        let gone = known.unwrap_or_else(|| Instance {
+        let existing = self.entries.get(id).map(|entry| entry.instance.clone());
+        let gone = existing.unwrap_or_else(|| Instance {
             id: id.to_owned(),
             service: String::new(),
             address: ([0; 4], 0),
@@ -152,10 +160,10 @@
     /// Marks endpoints that have missed heartbeats and forgets what left long ago; true if anything changed.
     pub fn tick(&mut self, now: Instant) -> bool {
         let before = self.counter;
-        let (mut counter, silence) = (self.counter, self.silence);
+        let (mut counter, silence_timeout) = (self.counter, self.silence_timeout);
         for entry in self.entries.values_mut() {
-            let is_ours = !matches!(entry.source, Source::HeardBy(_)) && entry.instance.stage != Stage::Gone;
-            let is_silent = is_ours && now.since(entry.heard) > silence;
+            let is_ours = !matches!(entry.source, Source::Remote(_)) && entry.instance.stage != Stage::Gone;
+            let is_silent = is_ours && now.since(entry.updated_at) > silence_timeout;
             if is_silent && !entry.instance.is_silent {
                 entry.instance.is_silent = true;
                 counter += 1;
@@ -164,7 +172,7 @@
         }
         self.counter = counter;
         self.changes += counter - before;
-        self.entries.retain(|_, entry| !entry.is_over(now));
+        self.entries.retain(|_, entry| !entry.is_expired(now));
         self.counter != before
     }
 
@@ -175,21 +183,22 @@
     }
 
     /// The same for another controller.
-    pub fn told_since(&self, origin: u64, counter: u64) -> Vec<Told> {
-        let told = |entry: &Entry| Told {
+    pub fn updates_since(&self, origin: u64, counter: u64) -> Vec<RecordUpdate> {
+        let update = |entry: &Entry| RecordUpdate {
             instance: entry.instance.clone(),
-            hearer: match entry.source {
-                Source::Heard => Some(self.origin),
-                Source::HeardBy(other) => Some(other),
-                Source::Kept => None,
+            owner: match entry.source {
+                Source::Local => Some(self.origin),
+                Source::Remote(other) => Some(other),
+                Source::Unowned => None,
             },
         };
-        self.changed(origin, counter).into_iter().map(told).collect()
+        self.changed(origin, counter).into_iter().map(update).collect()
     }
 
     fn changed(&self, origin: u64, counter: u64) -> Vec<&Entry> {
-        let is_known = origin == self.origin;
-        let is_wanted = |entry: &&Entry| !is_known || entry.counter > counter && !entry.is_told_elsewhere();
+        let is_same_origin = origin == self.origin;
+        let is_wanted =
+            |entry: &&Entry| !is_same_origin || entry.counter > counter && !entry.is_published_elsewhere();
         let mut changed: Vec<&Entry> = self.entries.values().filter(is_wanted).collect();
         changed.sort_by_key(|entry| entry.counter);
         changed
@@ -204,7 +213,7 @@
     /// heartbeats, and one that ended meanwhile becomes silent in its time.
     pub fn restore(&mut self, now: Instant, records: Vec<Instance>) {
         for record in records {
-            self.take(now, record, Source::Kept);
+            self.merge_from(now, record, Source::Unowned);
         }
     }
 
@@ -231,7 +240,7 @@
 }
 
 /// Whether a relay has to know of the difference; a mere heartbeat is none.
-fn differs(new: &Instance, old: &Instance) -> bool {
+fn is_significant_change(new: &Instance, old: &Instance) -> bool {
     let strip = |instance: &Instance| Instance { sequence: 0, warmup_left_ms: 0, ..instance.clone() };
     strip(new) != strip(old)
 }
--- a/crates/onyxstile-system/src/registry/copies.rs
+++ b/crates/onyxstile-system/src/registry/drain_sync.rs
@@ -12,51 +12,51 @@
 
 /// What was pulled from the other electors.
 #[derive(Debug, Clone, Default)]
-pub struct Copies {
-    is_whole: bool,
+pub struct DrainSync {
+    is_complete: bool,
     /// Those whose drains were pulled while they held all; they need not be asked again.
-    copied: BTreeSet<Address>,
+    pulled_from: BTreeSet<Address>,
     /// What each said last of itself.
-    holds_all: BTreeMap<Address, bool>,
+    reported_complete: BTreeMap<Address, bool>,
 }
 
-impl Copies {
+impl DrainSync {
     /// A controller whose disk says whether it holds all.
-    pub fn new(is_whole: bool) -> Copies {
-        Copies { is_whole, ..Copies::default() }
+    pub fn new(is_complete: bool) -> DrainSync {
+        DrainSync { is_complete, ..DrainSync::default() }
     }
 
     /// Whether this controller holds all.
-    pub fn is_whole(&self) -> bool {
-        self.is_whole
+    pub fn is_complete(&self) -> bool {
+        self.is_complete
     }
 
     /// All drains that an elector holds have been taken in; `is_whole` is what it says of itself.
-    pub fn pulled(&mut self, from: Address, is_whole: bool) {
-        self.holds_all.insert(from, is_whole);
-        if is_whole {
-            self.copied.insert(from);
+    pub fn record_pull(&mut self, from: Address, is_complete: bool) {
+        self.reported_complete.insert(from, is_complete);
+        if is_complete {
+            self.pulled_from.insert(from);
         }
     }
 
     /// Looks whether enough was pulled, given the electors of the newest view; true once, when it has become so.
-    pub fn review(&mut self, own: Address, electors: &[Address]) -> bool {
-        if self.is_whole || !electors.contains(&own) {
+    pub fn check_complete(&mut self, own: Address, electors: &[Address]) -> bool {
+        if self.is_complete || !electors.contains(&own) {
             return false;
         }
-        let is_asked = |ip: &&Address| **ip != own && self.holds_all.get(*ip) != Some(&false);
-        let asked: Vec<&Address> = electors.iter().filter(is_asked).collect();
-        let copied = asked.iter().filter(|ip| self.copied.contains(**ip)).count();
+        let is_eligible = |ip: &&Address| **ip != own && self.reported_complete.get(*ip) != Some(&false);
+        let eligible: Vec<&Address> = electors.iter().filter(is_eligible).collect();
+        let pulled_from = eligible.iter().filter(|ip| self.pulled_from.contains(**ip)).count();
         // Itself and those asked, as one electorate: a majority of it, none of which is itself.
-        let needed = asked.len().div_ceil(2) + 1;
-        self.is_whole = !asked.is_empty() && copied >= needed.min(asked.len());
-        self.is_whole
+        let needed = eligible.len().div_ceil(2) + 1;
+        self.is_complete = !eligible.is_empty() && pulled_from >= needed.min(eligible.len());
+        self.is_complete
     }
 }
 
 /// How many other electors have to hold a drain before it may be acknowledged: enough for any majority to meet one, and for
 /// the losses that are to be borne.
-pub fn holders_needed(electors: usize, losses: usize) -> usize {
+pub fn replicas_needed(electors: usize, losses: usize) -> usize {
     let majority = electors / 2 + 1;
     losses.max(electors.saturating_sub(majority))
 }
--- a/crates/onyxstile-system/src/registry/instance.rs
+++ b/crates/onyxstile-system/src/registry/instance.rs
@@ -43,7 +43,7 @@
 
 impl Instance {
     /// Whether it has left, is about to, or has fallen silent.
-    pub fn is_away(&self) -> bool {
+    pub fn is_unavailable(&self) -> bool {
         self.stage != Stage::Ready || self.is_silent
     }
 
@@ -77,9 +77,9 @@
 
 /// A record as one controller tells another of it.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Told {
+pub struct RecordUpdate {
     /// The record.
     pub instance: Instance,
     /// The life of the controller that the endpoint's heartbeats come to; none if nobody is known to hear it.
-    pub hearer: Option<u64>,
+    pub owner: Option<u64>,
 }
--- a/crates/onyxstile-system/src/role/controller.rs
+++ b/crates/onyxstile-system/src/role/controller.rs
@@ -32,7 +32,7 @@
 use crate::controller::{Controller, Input};
 use crate::disk::{ControlRecord, RealFolder};
 use crate::evidence::Pooled;
-use crate::registry::{Copies, Registry};
+use crate::registry::{DrainSync, Registry};
 use crate::relays::Relays;
 use crate::settings::Settings;
 use crate::swim::Class;
@@ -73,7 +73,7 @@
     controller: RefCell<Controller>,
     registry: RefCell<Registry>,
     kept_registry: KeptRegistry,
-    copies: RefCell<Copies>,
+    copies: RefCell<DrainSync>,
     swim: Shared,
     client: Client,
     record: RefCell<ControlRecord<RealFolder>>,
@@ -108,7 +108,7 @@
     node.registry.borrow_mut().restore(clock.now(), kept.instances);
     // At the first start of the whole system there is nothing to be copied.
     let is_first_start = node.settings.borrow().bootstrap;
-    *node.copies.borrow_mut() = Copies::new(kept.is_whole || is_first_start);
+    *node.copies.borrow_mut() = DrainSync::new(kept.is_whole || is_first_start);
     if is_first_start && !kept.is_whole {
         // So that a kill of all controllers before the first endpoint leaves none that knows it.
         drop(node.kept_registry.write(&node.registry.borrow(), true));
@@ -151,7 +151,7 @@
         let heartbeat = Duration::from_millis(settings.heartbeat_ms);
         let controller =
             Controller::new(settings.ip, durable, settings.fault_tolerance, random_id(), clock.now())
-                .placed(settings.place(&settings.zone))
+                .with_place(settings.place(&settings.zone))
                 .with_last_write(record.last_write_found());
         Node {
             settings: Rc::new(RefCell::new(settings)),
--- a/crates/onyxstile-system/src/role/controller/exchange.rs
+++ b/crates/onyxstile-system/src/role/controller/exchange.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::Node;
-use crate::registry::{Instance, Stage, Told, holders_needed};
+use crate::registry::{Instance, RecordUpdate, Stage, replicas_needed};
 use crate::wire::{Request, Response};
 
 /// How long another controller has to take a record to its disk.
@@ -32,8 +32,8 @@
     }
 
     /// Takes in what another controller tells.
-    fn hold_told(&self, told: Told) {
-        if self.registry.borrow_mut().merge_told(self.clock.now(), told) {
+    fn hold_told(&self, told: RecordUpdate) {
+        if self.registry.borrow_mut().merge_update(self.clock.now(), told) {
             self.changed.notify_waiters();
         }
     }
@@ -41,7 +41,7 @@
     /// Takes a record in for another controller. One of an endpoint that leaves is on the disk before the answer.
     pub(super) async fn hold_for(&self, instance: Instance) -> Response {
         let is_leaving = instance.stage != Stage::Ready;
-        self.hold_told(Told { instance, hearer: None });
+        self.hold_told(RecordUpdate { instance, owner: None });
         if is_leaving && !self.keep_registry().await { Response::Refused } else { Response::Done }
     }
 
@@ -52,14 +52,14 @@
     }
 
     async fn keep_registry(&self) -> bool {
-        let is_whole = self.copies.borrow().is_whole();
+        let is_whole = self.copies.borrow().is_complete();
         let written = self.kept_registry.keep_now(&self.registry.borrow(), is_whole);
         written.await.unwrap_or(false)
     }
 
     async fn held_by_others(&self, instance: &Instance) -> bool {
         let electors = self.electors();
-        let needed = holders_needed(electors.len(), self.tolerance().losses());
+        let needed = replicas_needed(electors.len(), self.tolerance().losses());
         let own = self.own();
         let (sender, mut receiver) = tokio::sync::mpsc::unbounded_channel();
         for ip in electors.into_iter().filter(|ip| *ip != own) {
@@ -90,8 +90,8 @@
             Response::Registry {
                 origin: registry.origin(),
                 counter: registry.counter(),
-                is_whole: self.copies.borrow().is_whole(),
-                records: registry.told_since(origin, counter),
+                is_whole: self.copies.borrow().is_complete(),
+                records: registry.updates_since(origin, counter),
             }
         };
         let is_news = |response: &Response| {
@@ -132,7 +132,7 @@
             }
             records.into_iter().for_each(|told| self.hold_told(told));
             (life, held) = (origin, counter);
-            self.copies.borrow_mut().pulled(ip, is_whole);
+            self.copies.borrow_mut().record_pull(ip, is_whole);
             self.review_copies();
             wait = if is_whole { WAIT } else { PAUSE };
         }
@@ -146,7 +146,7 @@
     }
 
     fn review_copies(&self) {
-        let is_news = self.copies.borrow_mut().review(self.own(), &self.electors());
+        let is_news = self.copies.borrow_mut().check_complete(self.own(), &self.electors());
         if is_news {
             log::info!("holds the drains of the other controllers");
             // Written in the background; one that is lost is copied again.
--- a/crates/onyxstile-system/src/role/controller/peers.rs
+++ b/crates/onyxstile-system/src/role/controller/peers.rs
@@ -9,7 +9,7 @@
 use crate::controller::Input;
 use crate::relays::Relay;
 use crate::role::rpc::Answer;
-use crate::swim::Standing;
+use crate::swim::MemberState;
 use crate::wire::{Published, Pull, Pulled, Request, Response};
 
 /// For this long after its start a controller that is not sure of what it holds keeps its answers short.
@@ -47,7 +47,7 @@
         let port = self.settings.borrow().listen.control?.port();
         let swim = self.swim.borrow();
         let alive =
-            |ip: [u8; 4]| swim.members().any(|member| member.ip == ip && member.standing == Standing::Alive);
+            |ip: [u8; 4]| swim.members().any(|member| member.ip == ip && member.state == MemberState::Alive);
         let ip = controller.view()?.electors.iter().map(|id| id.ip).find(|ip| alive(*ip))?;
         Some(SocketAddrV4::new(ip.into(), port))
     }
@@ -135,7 +135,7 @@
 
     /// Whether relays may count on what this controller holds.
     pub(super) fn is_sure(&self) -> bool {
-        self.controller.borrow().is_settled() && self.copies.borrow().is_whole()
+        self.controller.borrow().is_stable() && self.copies.borrow().is_complete()
     }
 
     /// Notes when it was sure of what it holds for the first time.
@@ -183,7 +183,7 @@
         lines.push(format!(
             "endpoints ready {} drains whole {}",
             self.registry.borrow().ready(),
-            self.copies.borrow().is_whole()
+            self.copies.borrow().is_complete()
         ));
         let revision = controller.committed_state().map_or(0, |state| state.revision());
         lines.extend(self.relays.borrow().lines(self.clock.now(), revision));
--- a/crates/onyxstile-system/src/role/controller/planner.rs
+++ b/crates/onyxstile-system/src/role/controller/planner.rs
@@ -7,7 +7,7 @@
 use super::Node;
 use crate::control::Operation;
 use crate::storage_plan::{Observed, StorageNode, StoragePlan};
-use crate::swim::{Class, Standing};
+use crate::swim::{Class, MemberState};
 
 /// A report of a storage machine counts for this long.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
@@ -24,7 +24,7 @@
         }
         let next = {
             let controller = self.controller.borrow();
-            if !controller.is_head() || !controller.is_settled() {
+            if !controller.is_head() || !controller.is_stable() {
                 return;
             }
             let Some(state) = controller.committed_state() else { return };
@@ -60,7 +60,7 @@
         let swim = self.swim.borrow();
         let is_alive = |node: &StorageNode| {
             swim.members().any(|member| {
-                member.ip == node.ip && member.disk == node.disk && member.standing != Standing::Dead
+                member.ip == node.ip && member.disk == node.disk && member.state != MemberState::Dead
             })
         };
         state.storage.members().filter(|node| !is_alive(node)).map(|node| node.name.clone()).collect()
@@ -75,7 +75,7 @@
         storage
             .map(|member| {
                 let report = synced.get(&member.ip).filter(|(_, at)| now.since(*at) < REPORT_LIFETIME);
-                let is_dead = member.standing == Standing::Dead;
+                let is_dead = member.state == MemberState::Dead;
                 Observed {
                     node: StorageNode {
                         name: member.name.clone(),
--- a/crates/onyxstile-system/src/role/controller/stepping.rs
+++ b/crates/onyxstile-system/src/role/controller/stepping.rs
@@ -9,7 +9,7 @@
 use super::Node;
 use crate::control::{ElectorId, Message, Operation, Outcome};
 use crate::controller::Input;
-use crate::swim::{Class, Standing};
+use crate::swim::{Class, MemberState};
 use crate::tolerance::Place;
 use crate::wire::Request;
 
@@ -31,7 +31,7 @@
             }
             self.relays.borrow_mut().tick(self.clock.now());
             self.evidence.borrow_mut().tick(self.clock.now());
-            let is_whole = self.copies.borrow().is_whole();
+            let is_whole = self.copies.borrow().is_complete();
             self.kept_registry.keep(self.clock.now(), &self.registry.borrow(), is_whole);
             self.clone().plan();
             tokio::time::sleep(TICK).await;
@@ -42,7 +42,7 @@
         let swim = self.swim.borrow();
         let settings = self.settings.borrow();
         let is_live =
-            |member: &&crate::swim::Member| member.class == Class::Core && member.standing != Standing::Dead;
+            |member: &&crate::swim::Member| member.class == Class::Core && member.state != MemberState::Dead;
         swim.members()
             .filter(is_live)
             .map(|member| (ElectorId { ip: member.ip, disk: member.disk }, settings.place(&member.zone)))
--- a/crates/onyxstile-system/src/role/membership.rs
+++ b/crates/onyxstile-system/src/role/membership.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::SteadyClock;
 use crate::settings::Settings;
-use crate::swim::{Class, Datagram, Member, Outgoing, Standing, Swim, Timing};
+use crate::swim::{Class, Datagram, Member, MemberState, Outgoing, Swim, Timing};
 use crate::wire;
 
 /// How often the protocol's clock is looked at.
@@ -30,7 +30,7 @@
         zone: settings.zone.clone(),
         disk,
         incarnation: wall_clock_ms(),
-        standing: Standing::Alive,
+        state: MemberState::Alive,
     }
 }
 
--- a/crates/onyxstile-system/src/swim.rs
+++ b/crates/onyxstile-system/src/swim.rs
@@ -5,12 +5,12 @@
 //! one that is silent is held dead after [`Timing::probe`] plus [`Timing::suspicion`], counted from its first probe.
 
 mod datagram;
+mod gossip;
 mod probing;
-mod rumors;
 mod table;
 
 pub use datagram::{Datagram, Kind, Outgoing};
-pub use table::{Class, Member, Standing};
+pub use table::{Class, Member, MemberState};
 
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -19,14 +19,14 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::clock::Instant;
+use gossip::GossipQueue;
 use probing::Probe;
-use rumors::Rumors;
 use table::Table;
 
 /// Most member records in one datagram, so that it stays under a common path MTU.
-const RECORDS_A_DATAGRAM: usize = 8;
+const RECORDS_PER_DATAGRAM: usize = 8;
 /// A dead member is forgotten after this time.
-const FORGET_AFTER: Duration = Duration::from_secs(120);
+const DEAD_RETENTION: Duration = Duration::from_secs(120);
 
 /// Periods of the protocol.
 #[derive(Debug, Clone)]
@@ -53,17 +53,17 @@
 pub struct Swim {
     own: Member,
     table: Table,
-    rumors: Rumors,
+    gossip: GossipQueue,
     timing: Timing,
     seeds: Vec<Ipv4Addr>,
-    random: Pcg64Mcg,
-    order: Vec<Ipv4Addr>,
+    rng: Pcg64Mcg,
+    probe_order: Vec<Ipv4Addr>,
     probe: Option<Probe>,
     next_probe: Instant,
     next_join: Instant,
     number: u64,
     rounds: u64,
-    relayed: HashMap<u64, (Ipv4Addr, u64, Instant)>,
+    indirect_pings: HashMap<u64, (Ipv4Addr, u64, Instant)>,
 }
 
 impl Swim {
@@ -72,17 +72,17 @@
         Swim {
             own,
             table: Table::default(),
-            rumors: Rumors::default(),
+            gossip: GossipQueue::default(),
             timing,
             seeds,
-            random: Pcg64Mcg::new(u128::from(seed) | 1),
-            order: Vec::new(),
+            rng: Pcg64Mcg::new(u128::from(seed) | 1),
+            probe_order: Vec::new(),
             probe: None,
             next_probe: now,
             next_join: now,
             number: 0,
             rounds: 0,
-            relayed: HashMap::new(),
+            indirect_pings: HashMap::new(),
         }
     }
 
@@ -114,7 +114,7 @@
         if now >= self.next_probe {
             self.next_probe = now + self.timing.probe;
             self.begin_probe(now, &mut out);
-            self.warn_suspects(&mut out);
+            self.ping_suspects(&mut out);
         }
         if now >= self.next_join {
             self.join(now, &mut out);
@@ -129,10 +129,10 @@
             return Vec::new();
         }
         let outdated =
-            self.table.get(sender).filter(|held| held.incarnation > datagram.from.incarnation).cloned();
-        self.hear(now, datagram.from.clone());
+            self.table.get(sender).filter(|current| current.incarnation > datagram.from.incarnation).cloned();
+        self.merge_record(now, datagram.from.clone());
         for record in datagram.records {
-            self.hear(now, record);
+            self.merge_record(now, record);
         }
         let mut out = Vec::new();
         match datagram.kind {
@@ -143,50 +143,50 @@
             Kind::Ack { number, on_behalf_of } => self.acknowledged(number, on_behalf_of.into(), &mut out),
             Kind::PingRequest { number, target } => {
                 self.number += 1;
-                self.relayed.insert(self.number, (sender, number, now));
+                self.indirect_pings.insert(self.number, (sender, number, now));
                 self.send(target.into(), Kind::Ping(self.number), &mut out);
             }
             Kind::Join => self.send_table(sender, &mut out),
             Kind::Records => {}
         }
         // One that started again behind an earlier incarnation of its own has to pass it before it is believed.
-        if let Some(held) = outdated {
+        if let Some(current) = outdated {
             out.iter_mut().filter(|outgoing| outgoing.to == sender).for_each(|outgoing| {
-                outgoing.datagram.records.push(held.clone());
+                outgoing.datagram.records.push(current.clone());
             });
         }
         out
     }
 
-    fn hear(&mut self, now: Instant, record: Member) {
+    fn merge_record(&mut self, now: Instant, record: Member) {
         if record.ip == self.own.ip {
             if record.incarnation >= self.own.incarnation && record != self.own {
                 self.own.incarnation = record.incarnation + 1;
-                self.rumors.add(self.own.clone());
+                self.gossip.add(self.own.clone());
             }
             return;
         }
         if self.table.merge(now, record.clone()) {
-            log::debug!("member {} {:?} incarnation {}", record.name, record.standing, record.incarnation);
-            self.rumors.add(record);
+            log::debug!("member {} {:?} incarnation {}", record.name, record.state, record.incarnation);
+            self.gossip.add(record);
         }
     }
 
     fn expire(&mut self, now: Instant) {
         for record in self.table.expired_suspects(now, self.timing.suspicion) {
             log::info!("member {} at {} held dead", record.name, record.address());
-            self.hear(now, Member { standing: Standing::Dead, ..record });
+            self.merge_record(now, Member { state: MemberState::Dead, ..record });
         }
-        self.table.forget(now, FORGET_AFTER);
+        self.table.remove_dead(now, DEAD_RETENTION);
         let keep = self.timing.probe * 4;
-        self.relayed.retain(|_, (_, _, since)| now.since(*since) < keep);
+        self.indirect_pings.retain(|_, (_, _, since)| now.since(*since) < keep);
     }
 
     fn join(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
         let unknown: Vec<Ipv4Addr> =
             self.seeds.iter().copied().filter(|seed| self.is_unknown(*seed)).collect();
-        let lonely = self.table.alive().next().is_none();
-        self.next_join = now + if lonely { self.timing.probe / 2 } else { self.timing.probe * 4 };
+        let is_isolated = self.table.alive().next().is_none();
+        self.next_join = now + if is_isolated { self.timing.probe / 2 } else { self.timing.probe * 4 };
         for seed in unknown {
             self.send(seed, Kind::Join, out);
         }
@@ -194,22 +194,22 @@
 
     fn is_unknown(&self, seed: Ipv4Addr) -> bool {
         seed != self.own.address()
-            && self.table.get(seed).is_none_or(|member| member.standing != Standing::Alive)
+            && self.table.get(seed).is_none_or(|member| member.state != MemberState::Alive)
     }
 
     fn acknowledged(&mut self, number: u64, on_behalf_of: Ipv4Addr, out: &mut Vec<Outgoing>) {
         if self.probe.as_ref().is_some_and(|probe| probe.number == number && probe.target == on_behalf_of) {
             self.probe = None;
         }
-        if let Some((asker, asked, _)) = self.relayed.remove(&number) {
-            let ack = Kind::Ack { number: asked, on_behalf_of: on_behalf_of.octets() };
-            self.send(asker, ack, out);
+        if let Some((requester, requested, _)) = self.indirect_pings.remove(&number) {
+            let ack = Kind::Ack { number: requested, on_behalf_of: on_behalf_of.octets() };
+            self.send(requester, ack, out);
         }
     }
 
     fn send_table(&mut self, to: Ipv4Addr, out: &mut Vec<Outgoing>) {
         let all: Vec<Member> = self.table.not_dead().cloned().collect();
-        for records in all.chunks(RECORDS_A_DATAGRAM) {
+        for records in all.chunks(RECORDS_PER_DATAGRAM) {
             let datagram =
                 Datagram { from: self.own.clone(), kind: Kind::Records, records: records.to_vec() };
             out.push(Outgoing { to, datagram });
@@ -220,9 +220,9 @@
     }
 
     fn send(&mut self, to: Ipv4Addr, kind: Kind, out: &mut Vec<Outgoing>) {
-        let mut records = self.rumors.take(RECORDS_A_DATAGRAM - 1, self.table.len());
+        let mut records = self.gossip.take(RECORDS_PER_DATAGRAM - 1, self.table.len());
         // Whoever is doubted hears of it, so that it can refute.
-        if let Some(record) = self.table.get(to).filter(|record| record.standing != Standing::Alive) {
+        if let Some(record) = self.table.get(to).filter(|record| record.state != MemberState::Alive) {
             records.push(record.clone());
         }
         out.push(Outgoing { to, datagram: Datagram { from: self.own.clone(), kind, records } });
--- a/crates/onyxstile-system/src/swim/probing.rs
+++ b/crates/onyxstile-system/src/swim/probing.rs
@@ -4,14 +4,14 @@
 
 use rand_core::RngCore;
 
-use super::table::{Member, Standing};
+use super::table::{Member, MemberState};
 use super::{Kind, Outgoing, Swim};
 use crate::clock::Instant;
 
 /// Machines asked to probe on one's behalf when a direct probe is not answered.
 const INDIRECT_PROBES: usize = 2;
 /// Suspected members that are warned in one period.
-const SUSPECTS_WARNED: usize = 3;
+const SUSPECTS_PINGED: usize = 3;
 /// One probe in this many goes to a member held dead, so that the two sides of a healed cut find each other.
 const DEAD_PROBE_EVERY: u64 = 4;
 
@@ -34,17 +34,17 @@
             probe.indirect = true;
             let request = Kind::PingRequest { number: probe.number, target: probe.target.octets() };
             let target = probe.target;
-            for helper in self.helpers(target) {
-                self.send(helper, request.clone(), out);
+            for prober in self.indirect_probers(target) {
+                self.send(prober, request.clone(), out);
             }
         }
     }
 
     /// Lets the suspected know, so that they can refute although datagrams are lost; whoever heard of the suspicion does.
-    pub(super) fn warn_suspects(&mut self, out: &mut Vec<Outgoing>) {
+    pub(super) fn ping_suspects(&mut self, out: &mut Vec<Outgoing>) {
         let mut suspects: Vec<Ipv4Addr> = self.table.suspects().map(Member::address).collect();
         self.shuffle(&mut suspects);
-        suspects.truncate(SUSPECTS_WARNED);
+        suspects.truncate(SUSPECTS_PINGED);
         for suspect in suspects {
             self.number += 1;
             self.send(suspect, Kind::Ping(self.number), out);
@@ -53,13 +53,13 @@
 
     fn suspect(&mut self, now: Instant, target: Ipv4Addr) {
         let Some(record) = self.table.get(target) else { return };
-        if record.standing == Standing::Alive {
-            let suspected = Member { standing: Standing::Suspect, ..record.clone() };
-            self.hear(now, suspected);
+        if record.state == MemberState::Alive {
+            let suspected = Member { state: MemberState::Suspect, ..record.clone() };
+            self.merge_record(now, suspected);
         }
     }
 
-    fn helpers(&mut self, target: Ipv4Addr) -> Vec<Ipv4Addr> {
+    fn indirect_probers(&mut self, target: Ipv4Addr) -> Vec<Ipv4Addr> {
         let mut alive: Vec<Ipv4Addr> =
             self.table.alive().map(Member::address).filter(|address| *address != target).collect();
         self.shuffle(&mut alive);
@@ -76,7 +76,7 @@
         let Some(target) = self.next_target(dead) else { return };
         self.number += 1;
         let number = self.number;
-        if self.table.get(target).is_some_and(|member| member.standing != Standing::Dead) {
+        if self.table.get(target).is_some_and(|member| member.state != MemberState::Dead) {
             self.probe = Some(Probe { target, number, started: now, indirect: false });
         }
         self.send(target, Kind::Ping(number), out);
@@ -86,15 +86,15 @@
         if dead && let Some(target) = self.random_dead() {
             return Some(target);
         }
-        while let Some(target) = self.order.pop() {
-            if self.table.get(target).is_some_and(|member| member.standing != Standing::Dead) {
+        while let Some(target) = self.probe_order.pop() {
+            if self.table.get(target).is_some_and(|member| member.state != MemberState::Dead) {
                 return Some(target);
             }
         }
-        let mut order: Vec<Ipv4Addr> = self.table.not_dead().map(Member::address).collect();
-        self.shuffle(&mut order);
-        self.order = order;
-        self.order.pop()
+        let mut probe_order: Vec<Ipv4Addr> = self.table.not_dead().map(Member::address).collect();
+        self.shuffle(&mut probe_order);
+        self.probe_order = probe_order;
+        self.probe_order.pop()
     }
 
     fn random_dead(&mut self) -> Option<Ipv4Addr> {
@@ -102,14 +102,14 @@
         if dead.is_empty() {
             return None;
         }
-        let index = self.random.next_u64() as usize % dead.len();
+        let index = self.rng.next_u64() as usize % dead.len();
         Some(dead[index])
     }
 
     fn shuffle(&mut self, list: &mut [Ipv4Addr]) {
         list.sort_unstable();
         for end in (1..list.len()).rev() {
-            let other = self.random.next_u64() as usize % (end + 1);
+            let other = self.rng.next_u64() as usize % (end + 1);
             list.swap(end, other);
         }
     }
--- a/crates/onyxstile-system/src/swim/table.rs
+++ b/crates/onyxstile-system/src/swim/table.rs
@@ -21,7 +21,7 @@
 
 /// How a member stands; the order is the order of precedence within one incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
-pub enum Standing {
+pub enum MemberState {
     /// Answers.
     Alive,
     /// Did not answer a probe and has not refuted yet.
@@ -46,7 +46,7 @@
     /// Rises with each start and each refutation.
     pub incarnation: u64,
     /// How it stands.
-    pub standing: Standing,
+    pub state: MemberState,
 }
 
 impl Member {
@@ -72,16 +72,16 @@
     pub(super) fn merge(&mut self, now: Instant, record: Member) -> bool {
         let address = record.address();
         let Some(entry) = self.entries.get_mut(&address) else {
-            if record.standing == Standing::Dead {
+            if record.state == MemberState::Dead {
                 return false;
             }
             self.entries.insert(address, Entry { member: record, since: now });
             return true;
         };
-        let held = &entry.member;
-        let newer = (record.incarnation, record.standing) > (held.incarnation, held.standing);
+        let current = &entry.member;
+        let newer = (record.incarnation, record.state) > (current.incarnation, current.state);
         if newer {
-            if held.standing != record.standing || held.disk != record.disk {
+            if current.state != record.state || current.disk != record.disk {
                 entry.since = now;
             }
             entry.member = record;
@@ -102,35 +102,35 @@
     }
 
     pub(super) fn alive(&self) -> impl Iterator<Item = &Member> {
-        self.members().filter(|member| member.standing == Standing::Alive)
+        self.members().filter(|member| member.state == MemberState::Alive)
     }
 
     pub(super) fn not_dead(&self) -> impl Iterator<Item = &Member> {
-        self.members().filter(|member| member.standing != Standing::Dead)
+        self.members().filter(|member| member.state != MemberState::Dead)
     }
 
     pub(super) fn suspects(&self) -> impl Iterator<Item = &Member> {
-        self.members().filter(|member| member.standing == Standing::Suspect)
+        self.members().filter(|member| member.state == MemberState::Suspect)
     }
 
     pub(super) fn dead(&self) -> impl Iterator<Item = &Member> {
-        self.members().filter(|member| member.standing == Standing::Dead)
+        self.members().filter(|member| member.state == MemberState::Dead)
     }
 
     pub(super) fn dead_since(&self, address: Ipv4Addr) -> Option<Instant> {
         let entry = self.entries.get(&address)?;
-        (entry.member.standing == Standing::Dead).then_some(entry.since)
+        (entry.member.state == MemberState::Dead).then_some(entry.since)
     }
 
     pub(super) fn expired_suspects(&self, now: Instant, suspicion: Duration) -> Vec<Member> {
         let expired = |entry: &&Entry| {
-            entry.member.standing == Standing::Suspect && now.since(entry.since) >= suspicion
+            entry.member.state == MemberState::Suspect && now.since(entry.since) >= suspicion
         };
         self.entries.values().filter(expired).map(|entry| entry.member.clone()).collect()
     }
 
-    pub(super) fn forget(&mut self, now: Instant, after: Duration) {
+    pub(super) fn remove_dead(&mut self, now: Instant, after: Duration) {
         self.entries
-            .retain(|_, entry| entry.member.standing != Standing::Dead || now.since(entry.since) < after);
+            .retain(|_, entry| entry.member.state != MemberState::Dead || now.since(entry.since) < after);
     }
 }
--- a/crates/onyxstile-system/src/wire.rs
+++ b/crates/onyxstile-system/src/wire.rs
@@ -12,7 +12,7 @@
 use crate::control::Message;
 use crate::evidence::Evidence;
 use crate::program::{ClaimSummary, Entry, Key, Record, Turn};
-use crate::registry::{Instance, Told};
+use crate::registry::{Instance, RecordUpdate};
 
 /// The version of the internal protocol; a frame of another is refused.
 pub const VERSION: u8 = 6;
@@ -122,7 +122,7 @@
         /// Whether the controller holds every drain that was acknowledged.
         is_whole: bool,
         /// Their records.
-        records: Vec<Told>,
+        records: Vec<RecordUpdate>,
     },
     /// News.
     Pulled(Pulled),
--- a/crates/onyxstile-system/tests/configuration.rs
+++ b/crates/onyxstile-system/tests/configuration.rs
@@ -4,7 +4,7 @@
 
 use expect_test::expect;
 use onyxstile_system::configuration::{RouteType, parse};
-use onyxstile_system::control::{ControlState, Operation, Outcome, REMEMBERED_CHANGES};
+use onyxstile_system::control::{ACCEPTED_CHANGES_MAX, ControlState, Operation, Outcome};
 use onyxstile_system::controller::{Evaluation, evaluate};
 use onyxstile_system::tolerance::Tolerance;
 
@@ -100,14 +100,14 @@
 fn only_a_valid_change_on_the_newest_version_is_written() {
     let first = taken(&ControlState::default(), 0, &good(2));
     assert_eq!((first.sequence, first.revision()), (1, 2));
-    assert_eq!(put(&first, 0, &good(2)), Evaluation::TakenBefore);
+    assert_eq!(put(&first, 0, &good(2)), Evaluation::AlreadyApplied);
     assert_eq!(put(&first, 0, &good(3)), Evaluation::Answer(Outcome::Conflict(2)));
     for revision in [1, 2] {
         let answer = put(&first, 2, &good(revision));
         assert!(matches!(answer, Evaluation::Answer(Outcome::Invalid(_))), "revision {revision}: {answer:?}");
     }
     let second = taken(&first, 2, &good(9));
-    assert_eq!(put(&second, 0, &good(2)), Evaluation::TakenBefore, "also when it has been replaced");
+    assert_eq!(put(&second, 0, &good(2)), Evaluation::AlreadyApplied, "also when it has been replaced");
     assert_eq!(second.configuration.as_ref().map(|held| held.body.clone()), Some(good(9).into_bytes()));
     assert!(matches!(put(&second, 9, &good(9)), Evaluation::Answer(Outcome::Invalid(_))), "on another base");
 }
@@ -122,13 +122,13 @@
 #[test]
 fn a_change_that_was_taken_is_never_refused_however_many_followed() {
     let mut state = taken(&ControlState::default(), 0, &good(1));
-    for base in 1..=REMEMBERED_CHANGES as u64 {
+    for base in 1..=ACCEPTED_CHANGES_MAX as u64 {
         state = taken(&state, base, &good(base + 1));
     }
     let current = state.revision();
-    assert_eq!(state.accepted.len(), REMEMBERED_CHANGES);
+    assert_eq!(state.accepted.len(), ACCEPTED_CHANGES_MAX);
     assert_eq!(put(&state, 0, &good(1)), Evaluation::Answer(Outcome::Unknown), "forgotten");
-    assert_eq!(put(&state, 1, &good(2)), Evaluation::TakenBefore);
+    assert_eq!(put(&state, 1, &good(2)), Evaluation::AlreadyApplied);
     assert_eq!(put(&state, 1, &good(current + 1)), Evaluation::Answer(Outcome::Conflict(current)));
 }
 
--- a/crates/onyxstile-system/tests/control_histories.rs
+++ b/crates/onyxstile-system/tests/control_histories.rs
@@ -4,70 +4,70 @@
 
 use onyxstile_system::clock::Instant;
 use onyxstile_system::control::{ElectorId, Message, Operation, View};
-use onyxstile_system::controller::{Controller, Input, Places, desired};
+use onyxstile_system::controller::{Controller, Input, Places, next_membership};
 use onyxstile_system::tolerance::Tolerance;
 use support::control_world::{CATCH_UP, Flaw, World};
 use support::variable;
 
 /// One history of faults and operators; what the checker found.
-fn play(count: u8, tolerated: usize, seed: u64, flaw: Flaw, rounds: u32) -> (World, usize) {
+fn run_history(count: u8, tolerated: usize, seed: u64, flaw: Flaw, rounds: u32) -> (World, usize) {
     let mut world = World::new(count, tolerated, seed, flaw);
     world.run(1500);
     let mut faults = 0;
     for _ in 0..rounds {
-        operate(&mut world);
-        if world.lost() < tolerated && world.roll(3) == 0 {
-            disturb(&mut world);
+        submit_operations(&mut world);
+        if world.lost() < tolerated && world.random_below(3) == 0 {
+            inject_fault(&mut world);
             faults += 1;
-        } else if world.lost() == 0 && world.roll(40) == 0 {
-            let down = 100 + u64::from(world.roll(900));
+        } else if world.lost() == 0 && world.random_below(40) == 0 {
+            let down = 100 + u64::from(world.random_below(900));
             world.kill_all(down);
             faults += 1;
         }
-        let pause = 50 + u64::from(world.roll(400));
+        let pause = 50 + u64::from(world.random_below(400));
         world.run(pause);
     }
     world.run(CATCH_UP + 3000);
     (world, faults)
 }
 
-fn operate(world: &mut World) {
+fn submit_operations(world: &mut World) {
     let base = world.newest_committed();
-    let rise = 1 + u64::from(world.roll(3));
-    let to = world.pick();
+    let rise = 1 + u64::from(world.random_below(3));
+    let to = world.random_machine();
     let change = world.put(to, base, base + rise);
-    match world.roll(6) {
+    match world.random_below(6) {
         0 => {
-            let other = world.pick();
+            let other = world.random_machine();
             world.put(other, base, base + rise);
         }
         1 => {
-            let again = world.pick();
-            world.put_again(again, change);
+            let again = world.random_machine();
+            world.resend_change(again, change);
         }
         2 if change > 3 => {
-            let earlier = world.roll(change as u32) as usize;
-            let again = world.pick();
-            world.put_again(again, earlier);
+            let earlier = world.random_below(change as u32) as usize;
+            let again = world.random_machine();
+            world.resend_change(again, earlier);
         }
         _ => {}
     }
-    let reader = world.pick();
+    let reader = world.random_machine();
     world.read(reader);
 }
 
-fn disturb(world: &mut World) {
-    let target = if world.roll(2) == 0 { world.head() } else { None };
-    let target = target.unwrap_or_else(|| world.pick());
-    let time = 100 + u64::from(world.roll(3500));
-    match world.roll(6) {
+fn inject_fault(world: &mut World) {
+    let target = if world.random_below(2) == 0 { world.head() } else { None };
+    let target = target.unwrap_or_else(|| world.random_machine());
+    let time = 100 + u64::from(world.random_below(3500));
+    match world.random_below(6) {
         0 => world.kill(target, time),
         1 => world.wipe(target, time),
         2 => world.freeze(target, time),
         3 => world.cut(target, time),
         4 => world.replace(target),
         _ => {
-            let just_acknowledged = 1 + u64::from(world.roll(30));
+            let just_acknowledged = 1 + u64::from(world.random_below(30));
             world.run(just_acknowledged);
             world.wipe(target, time);
         }
@@ -75,27 +75,27 @@
 }
 
 /// Histories a rough test plays: `HISTORIES`, or few enough for every run of the tests.
-fn histories() -> u64 {
+fn history_count() -> u64 {
     variable("HISTORIES", 150)
 }
 
 /// One history of losses that overlap as they come, cuts of 20 s among them; no more disks are lost at a time than are
 /// tolerated. Operators press all the while. At the end all machines are back.
-fn play_rough(count: u8, tolerated: usize, seed: u64, flaw: Flaw, rounds: u32) -> World {
+fn run_overlapping_history(count: u8, tolerated: usize, seed: u64, flaw: Flaw, rounds: u32) -> World {
     let mut world = World::new(count, tolerated, seed, flaw);
     world.run(1500);
     for _ in 0..rounds {
-        for _ in 0..1 + world.roll(3) {
-            operate(&mut world);
+        for _ in 0..1 + world.random_below(3) {
+            submit_operations(&mut world);
         }
-        if world.roll(3) == 0 {
-            disturb_roughly(&mut world, tolerated);
+        if world.random_below(3) == 0 {
+            inject_overlapping_fault(&mut world, tolerated);
         }
-        if world.roll(25) == 0 {
+        if world.random_below(25) == 0 {
             world.heal(300);
             world.run(CATCH_UP + 1000);
         }
-        let pause = 20 + u64::from(world.roll(300));
+        let pause = 20 + u64::from(world.random_below(300));
         world.run(pause);
     }
     world.heal(300);
@@ -103,21 +103,21 @@
     world
 }
 
-fn disturb_roughly(world: &mut World, tolerated: usize) {
-    let target = if world.roll(2) == 0 { world.head() } else { None };
-    let target = target.unwrap_or_else(|| world.pick());
-    let time = match world.roll(4) {
+fn inject_overlapping_fault(world: &mut World, tolerated: usize) {
+    let target = if world.random_below(2) == 0 { world.head() } else { None };
+    let target = target.unwrap_or_else(|| world.random_machine());
+    let time = match world.random_below(4) {
         0 => 20_000,
-        1 => 100 + u64::from(world.roll(3500)),
-        _ => 20 + u64::from(world.roll(400)),
+        1 => 100 + u64::from(world.random_below(3500)),
+        _ => 20 + u64::from(world.random_below(400)),
     };
-    match world.roll(10) {
+    match world.random_below(10) {
         0..=2 => world.kill(target, time),
         3 => world.freeze(target, time),
         4 => world.cut(target, time),
-        5 => world.deafen(target, time),
+        5 => world.block_inbound(target, time),
         6 => world.split(time),
-        7 if world.roll(3) == 0 => world.kill_all(time),
+        7 if world.random_below(3) == 0 => world.kill_all(time),
         8 if world.disks_lost() < tolerated => world.replace(target),
         _ if world.disks_lost() < tolerated => world.wipe(target, time),
         _ => world.kill(target, time),
@@ -125,11 +125,11 @@
 }
 
 #[test]
-fn whatever_overlaps_the_rules_hold_and_service_returns_with_the_machines() {
+fn overlapping_faults_keep_the_guarantees_and_service_resumes_after_recovery() {
     let first = variable("FIRST", 0);
     for (count, tolerated) in [(5, 2), (4, 1), (3, 1)] {
-        for seed in first..first + histories() {
-            let mut world = play_rough(count, tolerated, seed, Flaw::None, 40);
+        for seed in first..first + history_count() {
+            let mut world = run_overlapping_history(count, tolerated, seed, Flaw::None, 40);
             assert!(world.violations.is_empty(), "{count}, seed {seed}: {:?}", world.violations);
             let serves = world.serves_within(8000);
             assert!(
@@ -145,13 +145,13 @@
 
 fn check(count: u8, tolerated: usize, seeds: std::ops::Range<u64>, rounds: u32) {
     for seed in seeds {
-        let (mut world, faults) = play(count, tolerated, seed, Flaw::None, rounds);
+        let (mut world, faults) = run_history(count, tolerated, seed, Flaw::None, rounds);
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
         assert!(world.serves_within(6000), "seed {seed}: nothing is acknowledged after {faults} faults");
         // A read's messages may be lost like all others; the reader asks again.
         let before = world.reads;
         for _ in 0..8 {
-            let reader = world.pick();
+            let reader = world.random_machine();
             world.read(reader);
             world.run(500);
         }
@@ -161,17 +161,17 @@
 }
 
 #[test]
-fn three_controllers_keep_the_rules_through_one_loss_at_a_time() {
+fn three_controllers_keep_the_guarantees_with_one_loss_at_a_time() {
     check(3, 1, 0..120, 60);
 }
 
 #[test]
-fn five_controllers_keep_the_rules_through_two_losses_at_a_time() {
+fn five_controllers_keep_the_guarantees_with_two_losses_at_a_time() {
     check(5, 2, 0..50, 60);
 }
 
 #[test]
-fn a_minority_that_missed_changes_and_one_dark_member_are_enough_when_the_third_lost_its_disk() {
+fn a_stale_and_a_restarted_elector_suffice_when_the_third_lost_its_disk() {
     for seed in 0..20 {
         let mut world = World::new(3, 1, seed, Flaw::None);
         world.run(1500);
@@ -191,13 +191,13 @@
 }
 
 #[test]
-fn a_second_loss_right_after_the_first_one_has_caught_up_is_borne() {
+fn a_second_loss_after_catch_up_of_the_first_is_tolerated() {
     for seed in 0..40 {
         let mut world = World::new(3, 1, seed, Flaw::None);
         world.run(1500);
         for _ in 0..6 {
             assert!(world.serves_within(4000), "seed {seed}");
-            let target = world.pick();
+            let target = world.random_machine();
             world.wipe(target, 800);
             world.run(800 + CATCH_UP + 25);
         }
@@ -208,7 +208,7 @@
 
 /// A controller that had lost its disk passed operations on to itself without end.
 #[test]
-fn an_operation_at_a_machine_whose_lost_identity_heads_the_chain_ends() {
+fn an_operation_ends_at_a_machine_whose_lost_disk_heads_the_chain() {
     let ip = support::address(1);
     let seeds = [ip, support::address(2), support::address(3)];
     let view = Controller::bootstrap(ip, &seeds).view.expect("a view");
@@ -223,7 +223,7 @@
 
 /// A zone of several core machines is lost as one; where more stand in one zone than may be lost, a majority went with it.
 #[test]
-fn the_loss_of_a_zone_is_borne_with_several_controllers_in_it() {
+fn the_loss_of_a_zone_with_several_controllers_is_tolerated() {
     let tolerance = Tolerance { machines: 1, zones: 1, regions: 0 };
     for (count, zones) in [(4, 3), (5, 3), (6, 3), (7, 4)] {
         for seed in 0..12 {
@@ -231,10 +231,10 @@
             world.run(2500);
             for round in 0..4 {
                 assert!(world.serves_within(4000), "{count} in {zones}, seed {seed}, round {round}");
-                let target = world.pick();
-                let wipes = world.roll(2) == 0;
-                let down = 500 + u64::from(world.roll(4000));
-                for ip in world.neighbours(target) {
+                let target = world.random_machine();
+                let wipes = world.random_below(2) == 0;
+                let down = 500 + u64::from(world.random_below(4000));
+                for ip in world.machines_in_zone(target) {
                     if wipes { world.wipe(ip, down) } else { world.kill(ip, down) }
                 }
                 assert!(world.serves_within(4000), "{count} in {zones}, seed {seed}: a zone is away");
@@ -247,38 +247,38 @@
 
 /// Histories in which a flaw has to show. A process that starts waits for the others before it proposes a view, so that one that
 /// takes messages to its earlier life for its own shows in one of some hundred.
-const CAUGHT_WITHIN: u64 = 2000;
+const DETECTION_SEEDS: u64 = 2000;
 
-fn is_caught(flaw: Flaw) -> bool {
-    (0..CAUGHT_WITHIN).any(|seed| {
-        !play(3, 1, seed, flaw, 60).0.violations.is_empty()
-            || !play_rough(3, 1, seed, flaw, 40).violations.is_empty()
+fn is_detected(flaw: Flaw) -> bool {
+    (0..DETECTION_SEEDS).any(|seed| {
+        !run_history(3, 1, seed, flaw, 60).0.violations.is_empty()
+            || !run_overlapping_history(3, 1, seed, flaw, 40).violations.is_empty()
     })
 }
 
 #[test]
-fn the_checker_catches_votes_that_were_never_synced() {
-    assert!(is_caught(Flaw::UnsyncedVotes));
+fn the_checker_detects_unsynced_votes() {
+    assert!(is_detected(Flaw::UnsyncedVotes));
 }
 
 #[test]
-fn the_checker_catches_a_wiped_disk_that_votes_as_before() {
-    assert!(is_caught(Flaw::ForgottenIdentity));
+fn the_checker_detects_a_wiped_disk_that_reuses_its_identity() {
+    assert!(is_detected(Flaw::ReusedIdentity));
 }
 
 #[test]
-fn the_checker_catches_reads_that_ask_nobody() {
-    assert!(is_caught(Flaw::UncheckedReads));
+fn the_checker_detects_unconfirmed_reads() {
+    assert!(is_detected(Flaw::UncheckedReads));
 }
 
 #[test]
-fn the_checker_catches_an_acknowledgement_before_the_tail_has_it() {
-    assert!(is_caught(Flaw::HeadAcknowledges));
+fn the_checker_detects_an_acknowledgement_before_the_tail_stored_the_write() {
+    assert!(is_detected(Flaw::HeadAcknowledges));
 }
 
 /// Two of three seeds stand in one zone: once the other zones have a controller each, one of the two gives its vote up.
 #[test]
-fn a_zone_that_holds_too_many_electors_gives_one_up_and_takes_none_back() {
+fn an_overrepresented_zone_loses_one_elector_and_does_not_regain_it() {
     let id = |number: u8| ElectorId { ip: support::address(number).octets(), disk: 1 };
     let zones = [(1, "a"), (2, "a"), (3, "b"), (4, "c")];
     let places: Places =
@@ -292,24 +292,28 @@
         state: Default::default(),
     };
     let crowded = view(&ids[..3]);
-    let (electors, chain) = desired(&crowded, &ids, tolerance, &places).expect("a change");
+    let (electors, chain) = next_membership(&crowded, &ids, tolerance, &places).expect("a change");
     assert_eq!(
         (electors.as_slice(), chain.as_slice()),
         (&[id(1), id(3), id(4)][..], &[id(1), id(3), id(4)][..])
     );
-    assert_eq!(desired(&view(&electors), &ids, tolerance, &places), None, "the fourth stays a standby");
-    let all = desired(&crowded, &ids, support::ONE, &places).expect("a change");
+    assert_eq!(
+        next_membership(&view(&electors), &ids, tolerance, &places),
+        None,
+        "the fourth stays a standby"
+    );
+    let all = next_membership(&crowded, &ids, support::ONE, &places).expect("a change");
     assert_eq!(all.0, ids, "where no zone may be lost, all vote");
 }
 
 #[test]
-fn the_checker_catches_outcomes_and_confirmations_that_were_meant_for_an_earlier_life() {
-    assert!(is_caught(Flaw::OneLife));
+fn the_checker_detects_messages_accepted_from_an_earlier_incarnation() {
+    assert!(is_detected(Flaw::SharedIncarnation));
 }
 
 /// Of two dead electors the one gives its place up that stood where the newcomer stands: the other may merely be cut off.
 #[test]
-fn a_successor_takes_the_place_of_the_dead_one_where_it_stands() {
+fn a_new_machine_replaces_the_dead_elector_of_its_own_zone() {
     let id = |number: u8| ElectorId { ip: support::address(number).octets(), disk: 1 };
     let zones = [(1, "a"), (2, "b"), (3, "c"), (4, "d"), (5, "e"), (6, "e")];
     let places: Places =
@@ -317,23 +321,22 @@
     let electors: Vec<ElectorId> = (1..=5).map(id).collect();
     let view = View { number: 1, electors: electors.clone(), chain: electors, state: Default::default() };
     let alive = [id(1), id(3), id(4), id(6)];
-    let (electors, _) = desired(&view, &alive, Tolerance::of_machines(2), &places).expect("a change");
+    let (electors, _) = next_membership(&view, &alive, Tolerance::of_machines(2), &places).expect("a change");
     assert_eq!(electors, [id(1), id(2), id(3), id(4), id(6)], "2 is dead, but 5 stood in zone e");
 }
 
 /// What relays need after a loss of power of all: a majority that is sure of the newest change.
-fn has_settled_majority(world: &World, count: usize, newest: u64) -> bool {
-    let is_sure = |controller: &&Controller| {
-        controller.is_settled()
-            && controller.committed_state().is_some_and(|state| state.revision() == newest)
+fn has_stable_majority(world: &World, count: usize, newest: u64) -> bool {
+    let is_current = |controller: &&Controller| {
+        controller.is_stable() && controller.committed_state().is_some_and(|state| state.revision() == newest)
     };
     let present = world.present();
-    let sure = present.iter().filter_map(|ip| world.controller_at(*ip)).filter(is_sure).count();
-    sure > count / 2
+    let current = present.iter().filter_map(|ip| world.controller_at(*ip)).filter(is_current).count();
+    current > count / 2
 }
 
 /// A loss of power of all, `late` of which return later; how long a majority that is back took until it was sure, in ms.
-fn return_from_a_loss_of_power(count: u8, tolerated: usize, late: u64, seed: u64) -> u64 {
+fn recovery_time_after_power_loss(count: u8, tolerated: usize, late: u64, seed: u64) -> u64 {
     let mut world = World::new(count, tolerated, seed, Flaw::None);
     world.run(1500);
     for _ in 0..4 {
@@ -355,7 +358,7 @@
     world.run(500);
     let sent = world.messages_sent();
     let mut waited = 0;
-    while !has_settled_majority(&world, usize::from(count), newest) {
+    while !has_stable_majority(&world, usize::from(count), newest) {
         world.run(25);
         waited += 25;
         assert!(waited <= 1500, "{count}, seed {seed}: no majority is sure");
@@ -373,10 +376,10 @@
 /// mncg-onyx-grown, trouble-1: nine controllers listened 0.07 to 0.57 s after the power, two new views followed, and relays
 /// were told a configuration 1.2 s after it.
 #[test]
-fn after_a_loss_of_power_relays_wait_for_a_majority_and_not_for_the_chain() {
+fn after_power_loss_relays_wait_for_a_majority_not_for_the_whole_chain() {
     for (count, tolerated, late) in [(3, 1, 1), (5, 2, 2), (9, 2, 4)] {
         let mut waited: Vec<u64> =
-            (0..40).map(|seed| return_from_a_loss_of_power(count, tolerated, late, seed)).collect();
+            (0..40).map(|seed| recovery_time_after_power_loss(count, tolerated, late, seed)).collect();
         waited.sort_unstable();
         println!("{count} controllers: {waited:?} ms");
         // The world loses and delays messages; what was lost goes again after 200 ms.
--- a/crates/onyxstile-system/tests/control_model.rs
+++ b/crates/onyxstile-system/tests/control_model.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 use onyxstile_system::clock::Instant;
-use onyxstile_system::control::{Durable, ElectorId, Life, Message, Operation, Outcome};
+use onyxstile_system::control::{Durable, ElectorId, Incarnation, Message, Operation, Outcome};
 use onyxstile_system::controller::{Controller, Effect, Input};
 use onyxstile_system::tolerance::Place;
 use support::search::{self, Model, Searched};
@@ -30,7 +30,7 @@
     /// What is persisted is lost at a kill.
     UnsyncedVotes,
     /// A machine says that its disk holds a write more than it does.
-    BoastsOfWrites,
+    OverstatesWrites,
 }
 
 /// What may still happen.
@@ -58,12 +58,12 @@
 #[derive(Debug, Clone)]
 struct State {
     controllers: Vec<Controller>,
-    lives: Vec<Life>,
+    incarnations: Vec<Incarnation>,
     disks: Vec<Durable>,
     channels: BTreeMap<(usize, usize), VecDeque<Message>>,
     suspected: Option<usize>,
     now: u64,
-    left: Bounds,
+    remaining: Bounds,
     /// Revisions whose change was acknowledged.
     acknowledged: Vec<u64>,
     /// The revision in force after each write that anybody has told as committed.
@@ -71,7 +71,7 @@
     /// The view that a change was first acknowledged in.
     acknowledged_in: Option<u64>,
     /// The newest sequence that was told to relays by a machine in each view.
-    told: BTreeMap<u64, u64>,
+    reported: BTreeMap<u64, u64>,
     /// The view of each number, as digests.
     views: BTreeMap<u64, String>,
     violation: Option<String>,
@@ -97,22 +97,22 @@
 }
 
 impl State {
-    fn start(left: Bounds) -> State {
+    fn start(remaining: Bounds) -> State {
         let seeds: Vec<Ipv4Addr> = (0..MACHINES).map(ip).collect();
         let disks: Vec<Durable> = seeds.iter().map(|seed| Controller::bootstrap(*seed, &seeds)).collect();
         let controllers = (0..MACHINES).map(|machine| boot(machine, &disks[machine], 1)).collect();
         State {
             controllers,
-            lives: vec![1; MACHINES],
+            incarnations: vec![1; MACHINES],
             disks,
             channels: BTreeMap::new(),
             suspected: None,
             now: LONG_AFTER_START_MS,
-            left,
+            remaining,
             acknowledged: Vec::new(),
             committed: BTreeMap::new(),
             acknowledged_in: None,
-            told: BTreeMap::new(),
+            reported: BTreeMap::new(),
             views: BTreeMap::new(),
             violation: None,
         }
@@ -138,8 +138,8 @@
     /// What was on its way to the machine is lost with its connections.
     fn restart(&mut self, machine: usize) {
         self.channels.retain(|(_, to), _| *to != machine);
-        self.lives[machine] += 1;
-        self.controllers[machine] = boot(machine, &self.disks[machine], self.lives[machine]);
+        self.incarnations[machine] += 1;
+        self.controllers[machine] = boot(machine, &self.disks[machine], self.incarnations[machine]);
     }
 
     fn step(&mut self, machine: usize, input: Input, flaw: Flaw) {
@@ -153,24 +153,24 @@
                     assert!(self.disks[machine].state.apply(&write), "follows what is on the disk");
                 }
                 Effect::Persist(_) | Effect::Append { .. } => {}
-                Effect::Send { message: Message::Status { .. }, .. } if self.left.statuses == 0 => {}
+                Effect::Send { message: Message::Status { .. }, .. } if self.remaining.statuses == 0 => {}
                 Effect::Send { to, message } => self.send(machine, index(to), message, flaw),
-                Effect::Reply { number, outcome: Outcome::Done } => self.note_acknowledged(machine, number),
+                Effect::Reply { number, outcome: Outcome::Done } => self.record_acknowledged(machine, number),
                 Effect::Reply { .. } => {}
             }
         }
     }
 
     /// The machine that was asked tells the operator. If it knows a newer view than the head did, `told` is what counts.
-    fn note_acknowledged(&mut self, machine: usize, revision: u64) {
+    fn record_acknowledged(&mut self, machine: usize, revision: u64) {
         self.acknowledged.push(revision);
         self.acknowledged_in.get_or_insert(self.controllers[machine].installed());
     }
 
     fn send(&mut self, from: usize, to: usize, mut message: Message, flaw: Flaw) {
         if let Message::Status { written, .. } = &mut message {
-            self.left.statuses -= 1;
-            if flaw == Flaw::BoastsOfWrites {
+            self.remaining.statuses -= 1;
+            if flaw == Flaw::OverstatesWrites {
                 *written += 1;
             }
         }
@@ -201,16 +201,16 @@
         }
         let Some(view) = controller.view() else { return };
         if let Some(state) = controller.committed_state() {
-            let newest = self.told.entry(view.number).or_default();
+            let newest = self.reported.entry(view.number).or_default();
             *newest = state.sequence.max(*newest);
         }
-        let told_before = self.told.range(..view.number).map(|(_, sequence)| *sequence).max();
-        if told_before.is_some_and(|told| told > view.state.sequence) {
+        let reported_before = self.reported.range(..view.number).map(|(_, sequence)| *sequence).max();
+        if reported_before.is_some_and(|reported| reported > view.state.sequence) {
             self.violation = Some(format!("view {} lacks what relays were told before", view.number));
         }
-        let told = format!("{view:?}");
-        let held = self.views.entry(view.number).or_insert_with(|| told.clone());
-        if *held != told {
+        let reported = format!("{view:?}");
+        let held = self.views.entry(view.number).or_insert_with(|| reported.clone());
+        if *held != reported {
             self.violation = Some(format!("there are two views {}", view.number));
         }
         let is_later = |acknowledged: &u64| view.number > *acknowledged && view.state.sequence == 0;
@@ -222,8 +222,9 @@
 
 /// A controller that has started long ago: the time that it gives others to return would only take orders of events out of the
 /// search, and no rule rests on it.
-fn boot(machine: usize, disk: &Durable, life: Life) -> Controller {
-    Controller::new(ip(machine), disk.clone(), ONE, life, Instant::default()).placed(place(machine))
+fn boot(machine: usize, disk: &Durable, incarnation: Incarnation) -> Controller {
+    Controller::new(ip(machine), disk.clone(), ONE, incarnation, Instant::default())
+        .with_place(place(machine))
 }
 
 impl Model for State {
@@ -235,22 +236,22 @@
         for ((from, to), messages) in &self.channels {
             if !messages.is_empty() {
                 actions.push(Action::Deliver(*from, *to));
-                if self.left.losses > 0 {
+                if self.remaining.losses > 0 {
                     actions.push(Action::Lose(*from, *to));
                 }
             }
         }
         for machine in 0..MACHINES {
-            if self.left.ticks > 0 {
+            if self.remaining.ticks > 0 {
                 actions.push(Action::Tick(machine));
             }
-            if self.left.kills > 0 {
+            if self.remaining.kills > 0 {
                 actions.push(Action::Kill(machine));
             }
-            if self.left.wipes > 0 {
+            if self.remaining.wipes > 0 {
                 actions.push(Action::Wipe(machine));
             }
-            if self.left.suspicions > 0 && self.suspected != Some(machine) {
+            if self.remaining.suspicions > 0 && self.suspected != Some(machine) {
                 actions.push(Action::Suspect(machine));
             }
         }
@@ -266,27 +267,27 @@
                 }
             }
             Action::Lose(from, to) => {
-                next.left.losses -= 1;
+                next.remaining.losses -= 1;
                 next.take(from, to);
             }
             Action::Tick(machine) => {
-                next.left.ticks -= 1;
+                next.remaining.ticks -= 1;
                 next.now += TICK_MS;
                 let live = next.live(machine);
                 next.step(machine, Input::Live(live), flaw);
                 next.step(machine, Input::Tick, flaw);
             }
             Action::Kill(machine) => {
-                next.left.kills -= 1;
+                next.remaining.kills -= 1;
                 next.restart(machine);
             }
             Action::Wipe(machine) => {
-                next.left.wipes -= 1;
+                next.remaining.wipes -= 1;
                 next.disks[machine] = Controller::empty(1_000 + machine as u64);
                 next.restart(machine);
             }
             Action::Suspect(machine) => {
-                next.left.suspicions -= 1;
+                next.remaining.suspicions -= 1;
                 next.suspected = Some(machine);
             }
         }
@@ -307,11 +308,11 @@
     search::search(state, flaw, STATES)
 }
 
-const QUIET: Bounds = Bounds { ticks: 0, kills: 0, wipes: 0, losses: 0, suspicions: 0, statuses: 0 };
+const NO_EVENTS: Bounds = Bounds { ticks: 0, kills: 0, wipes: 0, losses: 0, suspicions: 0, statuses: 0 };
 
 #[test]
-fn two_writers_of_one_version_are_never_both_told_that_theirs_was_taken() {
-    let bounds = Bounds { losses: 1, ticks: 1, ..QUIET };
+fn two_writers_of_one_version_are_never_both_acknowledged() {
+    let bounds = Bounds { losses: 1, ticks: 1, ..NO_EVENTS };
     let start = State::start(bounds).put(0, 1, Flaw::None).put(1, 2, Flaw::None);
     let searched = search(start, Flaw::None);
     searched.report("two writers");
@@ -320,8 +321,10 @@
 }
 
 #[test]
-fn a_change_outlasts_a_view_change_with_a_kill_or_a_wipe() {
-    for (name, faults) in [("kill", Bounds { kills: 1, ..QUIET }), ("wipe", Bounds { wipes: 1, ..QUIET })] {
+fn a_change_survives_a_view_change_with_a_kill_or_a_wipe() {
+    for (name, faults) in
+        [("kill", Bounds { kills: 1, ..NO_EVENTS }), ("wipe", Bounds { wipes: 1, ..NO_EVENTS })]
+    {
         let bounds = Bounds { ticks: 3, suspicions: 1, ..faults };
         let searched = search(State::start(bounds).put(0, 1, Flaw::None), Flaw::None);
         searched.report(name);
@@ -332,32 +335,32 @@
 
 /// A write is on its way down the chain when machines say how far they are; then the head falls silent, and a view without it
 /// is decided: what relays were told by then is in that view.
-fn told_while_a_view_changes(flaw: Flaw) -> Searched {
+fn search_reports_during_view_change(flaw: Flaw) -> Searched {
     use Action::{Deliver, Suspect, Tick};
-    let bounds = Bounds { ticks: 4, suspicions: 1, statuses: 4, ..QUIET };
+    let bounds = Bounds { ticks: 4, suspicions: 1, statuses: 4, ..NO_EVENTS };
     let start = State::start(bounds).put(0, 1, flaw);
     let steps = [Tick(1), Deliver(1, 0), Suspect(0), Tick(1)];
     search(steps.into_iter().fold(start, |state, step| state.after(step, flaw)), flaw)
 }
 
 #[test]
-fn what_relays_were_told_by_the_word_of_a_majority_is_in_every_later_view() {
-    let searched = told_while_a_view_changes(Flaw::None);
+fn state_reported_on_majority_evidence_is_in_every_later_view() {
+    let searched = search_reports_during_view_change(Flaw::None);
     searched.report("told by a majority");
     assert_eq!(searched.violation, None);
     assert!(searched.depth >= 4, "depth {}", searched.depth);
 }
 
 #[test]
-fn a_machine_that_boasts_of_what_its_disk_lacks_is_caught() {
-    let searched = told_while_a_view_changes(Flaw::BoastsOfWrites);
+fn a_machine_that_overstates_its_writes_is_detected() {
+    let searched = search_reports_during_view_change(Flaw::OverstatesWrites);
     searched.report("a machine that boasts");
     assert!(searched.violation.expect("is caught").contains("lacks what relays were told"));
 }
 
 #[test]
-fn a_head_that_acknowledges_alone_is_caught() {
-    let bounds = Bounds { ticks: 2, suspicions: 1, ..QUIET };
+fn a_head_that_acknowledges_alone_is_detected() {
+    let bounds = Bounds { ticks: 2, suspicions: 1, ..NO_EVENTS };
     let start = State::start(bounds).put(0, 1, Flaw::HeadAcknowledges);
     let searched = search(start, Flaw::HeadAcknowledges);
     searched.report("a head that acknowledges alone");
@@ -365,7 +368,7 @@
 }
 
 /// One controller decides a view with another, which is killed; then that one and the third are to decide.
-fn after_a_decision_and_a_kill(flaw: Flaw) -> State {
+fn state_after_decision_and_kill(flaw: Flaw) -> State {
     use Action::{Deliver, Kill, Suspect, Tick};
     let steps = [
         Suspect(2),
@@ -381,7 +384,7 @@
         Tick(1),
         Tick(1),
     ];
-    let bounds = Bounds { ticks: 4, kills: 1, suspicions: 2, ..QUIET };
+    let bounds = Bounds { ticks: 4, kills: 1, suspicions: 2, ..NO_EVENTS };
     let state = steps.into_iter().fold(State::start(bounds), |state, step| state.after(step, flaw));
     assert_eq!(state.violation, None);
     assert_eq!(state.controllers[0].view().expect("a view").number, 2);
@@ -389,11 +392,11 @@
 }
 
 #[test]
-fn a_view_that_was_decided_stays_decided_and_votes_that_are_not_synced_are_caught() {
-    let searched = search(after_a_decision_and_a_kill(Flaw::None), Flaw::None);
+fn a_decided_view_stays_decided_and_unsynced_votes_are_detected() {
+    let searched = search(state_after_decision_and_kill(Flaw::None), Flaw::None);
     searched.report("a second decision");
     assert_eq!(searched.violation, None);
-    let searched = search(after_a_decision_and_a_kill(Flaw::UnsyncedVotes), Flaw::UnsyncedVotes);
+    let searched = search(state_after_decision_and_kill(Flaw::UnsyncedVotes), Flaw::UnsyncedVotes);
     searched.report("votes that are not synced");
     assert!(searched.violation.expect("is caught").contains("two views 2"));
 }
--- a/crates/onyxstile-system/tests/control_record.rs
+++ b/crates/onyxstile-system/tests/control_record.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use onyxstile_system::control::{
-    AcceptedChange, Change, ControlState, Durable, Message, StoredConfiguration, View, Write, Written,
+    AcceptedChange, ChainUpdate, Change, ControlState, Durable, Message, StoredConfiguration, View, Write,
 };
 use onyxstile_system::controller::Controller;
 use onyxstile_system::disk::{ControlRecord, Folder};
@@ -139,7 +139,7 @@
     let write = next(&mut durable, 1024);
     record.append(1, &write).expect("is written");
     let on_disk = folder.read("write-0").expect("is there").len();
-    let apply = Message::Apply { view: 1, written: Written::Write(Rc::new(write)) };
+    let apply = Message::Apply { view: 1, written: ChainUpdate::Write(Rc::new(write)) };
     let on_wire = wire::encode(&apply).len();
     println!("1,024 bytes: {on_disk} on disk, {on_wire} on the wire, state {}", durable.state.bytes());
     assert!(on_disk < 1024 + 200, "{on_disk} on disk");
--- a/crates/onyxstile-system/tests/power_return.rs
+++ b/crates/onyxstile-system/tests/power_return.rs
@@ -6,14 +6,14 @@
 use std::rc::Rc;
 
 use onyxstile_system::clock::Instant;
-use onyxstile_system::control::{Change, Durable, ElectorId, Message, Operation, Written};
+use onyxstile_system::control::{ChainUpdate, Change, Durable, ElectorId, Message, Operation};
 use onyxstile_system::controller::{Controller, Effect, Input};
 use onyxstile_system::storage_plan::StoragePlan;
 use onyxstile_system::tolerance::Place;
 use support::{ONE, address, elector, seeds};
 
 /// A machine as membership shows it.
-fn seen(number: u8) -> (ElectorId, Place) {
+fn live_member(number: u8) -> (ElectorId, Place) {
     (elector(number), Place::default())
 }
 
@@ -26,7 +26,7 @@
     let mut sent = Vec::new();
     for ms in (0..until_ms).step_by(25) {
         let now = Instant::from_millis(ms);
-        let live = others.iter().map(|number| seen(*number)).collect();
+        let live = others.iter().map(|number| live_member(*number)).collect();
         for input in [Input::Live(live), Input::Tick] {
             sent.extend(controller.step(now, input).into_iter().filter_map(|effect| match effect {
                 Effect::Send { message, .. } => Some(message),
@@ -48,52 +48,55 @@
 /// mncg-onyx-grown, trouble-1: view 4 with six of nine electors 0.6 s after the power, view 5 with all at 1.1 s, and relays waited
 /// for the second.
 #[test]
-fn a_view_without_those_that_are_on_their_way_is_not_proposed() {
+fn no_view_is_proposed_without_electors_that_are_still_restarting() {
     assert!(!proposes(&sent(start(), &[2], 900)), "machine 3 may be as late as this one");
     assert!(!proposes(&sent(start(), &[2, 3], 3000)), "all are back, and nothing was lost");
 }
 
 #[test]
-fn one_that_does_not_return_is_left_out_once_membership_would_hold_it_dead() {
+fn an_elector_that_does_not_return_is_removed_after_the_failure_detection_time() {
     assert!(proposes(&sent(start(), &[2], 1300)));
 }
 
 #[test]
-fn one_that_was_seen_and_has_gone_is_not_waited_for() {
+fn an_elector_that_was_seen_and_left_is_not_waited_for() {
     let mut controller = start();
     let now = Instant::from_millis(0);
-    controller.step(now, Input::Live(vec![seen(2), seen(3)]));
+    controller.step(now, Input::Live(vec![live_member(2), live_member(3)]));
     assert!(proposes(&sent(controller, &[2], 200)), "it was met in this life");
 }
 
 /// The head passes on what made its newest state, not the whole of it, to a successor that has it on its disk too.
 #[test]
-fn a_write_from_before_the_loss_is_settled_by_passing_on_that_write() {
+fn a_write_from_before_the_power_loss_is_committed_by_resending_that_write() {
     let mut held = durable(1);
     let plan = StoragePlan { epoch: 1, ..StoragePlan::default() };
     let write = held.state.write(Change::Storage(Rc::new(plan)));
     assert!(held.state.apply(&write));
-    let controller = |last| {
-        Controller::new(address(1), held.clone(), ONE, 7, Instant::from_millis(0)).with_last_write(last)
+    let controller = |last_write| {
+        Controller::new(address(1), held.clone(), ONE, 7, Instant::from_millis(0)).with_last_write(last_write)
     };
-    let passed_on = |messages: Vec<Message>| {
+    let update_sent = |messages: Vec<Message>| {
         messages.into_iter().find_map(|message| match message {
             Message::Apply { written, .. } => Some(written),
             _ => None,
         })
     };
     let write = Rc::new(write);
-    let small = passed_on(sent(controller(Some(write.clone())), &[2, 3], 100));
-    assert!(matches!(small, Some(Written::Write(passed)) if passed == write));
+    let sent_write = update_sent(sent(controller(Some(write.clone())), &[2, 3], 100));
+    assert!(matches!(sent_write, Some(ChainUpdate::Write(passed)) if passed == write));
     let older = Rc::new(onyxstile_system::control::Write { sequence: 0, ..(*write).clone() });
-    for last in [None, Some(older)] {
-        let whole = passed_on(sent(controller(last), &[2, 3], 100));
-        assert!(matches!(whole, Some(Written::State(_))), "one that is not the newest is not passed on");
+    for last_write in [None, Some(older)] {
+        let full_state = update_sent(sent(controller(last_write), &[2, 3], 100));
+        assert!(
+            matches!(full_state, Some(ChainUpdate::State(_))),
+            "one that is not the newest is not passed on"
+        );
     }
 }
 
 /// Machine 1 with one write on its disk of which it does not know whether it was committed.
-fn with_a_write() -> Controller {
+fn controller_with_uncommitted_write() -> Controller {
     let mut held = durable(1);
     let plan = StoragePlan { epoch: 1, ..StoragePlan::default() };
     let write = held.state.write(Change::Storage(Rc::new(plan)));
@@ -107,48 +110,48 @@
 }
 
 #[test]
-fn what_a_majority_has_on_its_disks_is_settled_while_the_rest_is_dark() {
+fn state_on_a_majority_of_disks_is_stable_while_the_rest_is_down() {
     let now = Instant::from_millis(10);
-    let mut controller = with_a_write();
-    assert!(!controller.is_settled(), "machine 1 alone may have it");
+    let mut controller = controller_with_uncommitted_write();
+    assert!(!controller.is_stable(), "machine 1 alone may have it");
     controller.step(now, status(2, 1, 0));
-    assert!(!controller.is_settled(), "machine 2 does not have it");
+    assert!(!controller.is_stable(), "machine 2 does not have it");
     controller.step(now, status(2, 2, 1));
-    assert!(!controller.is_settled(), "what is on a disk in another view says nothing of this one");
+    assert!(!controller.is_stable(), "what is on a disk in another view says nothing of this one");
     controller.step(now, status(2, 1, 1));
-    assert!(controller.is_settled());
+    assert!(controller.is_stable());
     assert_eq!(controller.committed_state().map(|state| state.sequence), Some(1));
 }
 
 #[test]
-fn the_word_of_a_machine_that_lost_its_disk_counts_for_nothing() {
-    let mut controller = with_a_write();
+fn a_status_from_a_machine_that_lost_its_disk_is_ignored() {
+    let mut controller = controller_with_uncommitted_write();
     let id = elector(2);
     let from = ElectorId { disk: id.disk + 1, ..id };
     let message = Message::Status { from, view: 1, committed: 0, written: 1 };
     controller.step(Instant::from_millis(10), Input::Message { from: address(2), message });
-    assert!(!controller.is_settled());
+    assert!(!controller.is_stable());
 }
 
 /// Reads are answered by the tail, which may lack what a majority has.
 #[test]
-fn an_operator_waits_for_the_whole_chain_all_the_same() {
+fn an_operator_still_waits_for_the_whole_chain() {
     let now = Instant::from_millis(10);
     let mut controller = Controller::new(address(1), durable(1), ONE, 7, now);
     let body = Rc::new(br#"{"revision":1,"routes":[],"services":[]}"#.to_vec());
     let put = Operation::PutConfiguration { base: Some(0), body };
     let mut effects = controller.step(now, Input::Operation { number: 1, operation: put });
     effects.extend(controller.step(now, status(2, 1, 1)));
-    assert!(controller.is_settled());
-    let is_told = |effects: &[Effect]| effects.iter().any(|effect| matches!(effect, Effect::Reply { .. }));
-    assert!(!is_told(&effects), "machine 3 lacks it and is the tail");
+    assert!(controller.is_stable());
+    let is_replied = |effects: &[Effect]| effects.iter().any(|effect| matches!(effect, Effect::Reply { .. }));
+    assert!(!is_replied(&effects), "machine 3 lacks it and is the tail");
     let message = Message::Applied { view: 1, sequence: 1 };
-    assert!(is_told(&controller.step(now, Input::Message { from: address(2), message })));
+    assert!(is_replied(&controller.step(now, Input::Message { from: address(2), message })));
 }
 
 /// One that starts is told at once how far the others are, and they it, once each.
 #[test]
-fn a_machine_that_is_heard_for_the_first_time_is_answered_at_once() {
+fn the_first_status_of_a_machine_is_answered_at_once() {
     let mut controller = start();
     let answers = |effects: Vec<Effect>| {
         let is_answer = |effect: &Effect| matches!(effect, Effect::Send { to, message: Message::Status { .. } } if *to == address(2));
--- a/crates/onyxstile-system/tests/support/control_world.rs
+++ b/crates/onyxstile-system/tests/support/control_world.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use onyxstile_system::clock::Instant;
-use onyxstile_system::control::{Durable, ElectorId, Life, Message, Operation, Outcome, Write};
+use onyxstile_system::control::{Durable, ElectorId, Incarnation, Message, Operation, Outcome, Write};
 use onyxstile_system::controller::{Controller, Effect, Input};
 use onyxstile_system::tolerance::{Place, Tolerance};
 use rand_core::RngCore;
@@ -14,9 +14,9 @@
 
 use super::{address, place};
 
+mod accessors;
 mod faults;
 mod operators;
-mod outside;
 
 /// How a world departs from what the controllers rely on; each has to be caught by the checker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -26,19 +26,19 @@
     /// What is persisted is lost at a kill, as if it had never been synced.
     UnsyncedVotes,
     /// A wiped machine claims to be what it was.
-    ForgottenIdentity,
+    ReusedIdentity,
     /// Whoever is asked whether a view is current is believed to have said yes.
     UncheckedReads,
     /// A write counts as acknowledged once the head has it.
     HeadAcknowledges,
     /// All lives of a process call themselves alike, as when numbers were told without a life.
-    OneLife,
+    SharedIncarnation,
 }
 
-const TICK: u64 = 25;
-const DETECTION: u64 = 1200;
+const TICK_MS: u64 = 25;
+const DETECTION_MS: u64 = 1200;
 /// A connection in the making holds messages for up to this long, in ms.
-const LATE: u32 = 1200;
+const MAX_DELAY: u32 = 1200;
 /// After its return a machine still counts as lost for this long, in ms.
 pub const CATCH_UP: u64 = 4000;
 
@@ -49,7 +49,7 @@
     down_until: Option<u64>,
     cut_until: u64,
     /// Until then nothing reaches the machine, though what it sends goes out.
-    deaf_until: u64,
+    inbound_blocked_until: u64,
     lost_until: u64,
     is_gone: bool,
     /// Whether its disk was lost and the machines have not all been in touch for long enough since.
@@ -77,16 +77,16 @@
     pub is_refused: bool,
 }
 
-enum Asked {
+enum Request {
     Change(usize),
     Read { began: u64 },
-    Order(u64),
+    Submission(u64),
 }
 
 /// All machines, the network and the operators.
 pub struct World {
     pub now: u64,
-    pub random: Pcg64Mcg,
+    pub rng: Pcg64Mcg,
     machines: BTreeMap<Ipv4Addr, Machine>,
     network: BinaryHeap<Delivery>,
     messages: Vec<Option<Message>>,
@@ -95,20 +95,20 @@
     seeds: Vec<Ipv4Addr>,
     flaw: Flaw,
     next_machine: u8,
-    next_life: Life,
+    next_incarnation: Incarnation,
     next_disk: u64,
     /// Machines of the one half, and until when they are cut from the other.
     split: (BTreeSet<Ipv4Addr>, u64),
     /// Since when all machines have been up and in touch.
-    calm_since: u64,
-    asked: BTreeMap<(Ipv4Addr, u64), Asked>,
+    connected_since: u64,
+    pending_requests: BTreeMap<(Ipv4Addr, u64), Request>,
     pub changes: Vec<Change>,
     /// States by sequence that some machine has told as committed.
     committed: BTreeMap<u64, u64>,
     pub violations: Vec<String>,
     pub reads: usize,
     newest_read: u64,
-    last_order: u64,
+    last_submission: u64,
     outcomes: Vec<(u64, Outcome)>,
 }
 
@@ -123,7 +123,7 @@
         let seeds: Vec<Ipv4Addr> = (1..=count.min(3)).map(address).collect();
         let mut world = World {
             now: 0,
-            random: Pcg64Mcg::new(u128::from(seed) << 1 | 1),
+            rng: Pcg64Mcg::new(u128::from(seed) << 1 | 1),
             machines: BTreeMap::new(),
             network: BinaryHeap::new(),
             messages: Vec::new(),
@@ -132,17 +132,17 @@
             seeds,
             flaw,
             next_machine: count + 1,
-            next_life: 1,
+            next_incarnation: 1,
             next_disk: 1000,
             split: (BTreeSet::new(), 0),
-            calm_since: 0,
-            asked: BTreeMap::new(),
+            connected_since: 0,
+            pending_requests: BTreeMap::new(),
             changes: Vec::new(),
             committed: BTreeMap::new(),
             violations: Vec::new(),
             reads: 0,
             newest_read: 0,
-            last_order: 0,
+            last_submission: 0,
             outcomes: Vec::new(),
         };
         for number in 1..=count {
@@ -167,7 +167,7 @@
             frozen_until: 0,
             down_until: None,
             cut_until: 0,
-            deaf_until: 0,
+            inbound_blocked_until: 0,
             lost_until,
             is_gone: false,
             is_disk_lost: false,
@@ -176,15 +176,15 @@
         self.machines.insert(ip, machine);
     }
 
-    fn life(&mut self) -> Life {
-        if self.flaw != Flaw::OneLife {
-            self.next_life += 1;
+    fn incarnation(&mut self) -> Incarnation {
+        if self.flaw != Flaw::SharedIncarnation {
+            self.next_incarnation += 1;
         }
-        self.next_life
+        self.next_incarnation
     }
 
     fn controller(&mut self, ip: Ipv4Addr, disk: Durable, now: Instant) -> Controller {
-        Controller::new(ip, disk, self.tolerance, self.life(), now).placed(self.place(ip))
+        Controller::new(ip, disk, self.tolerance, self.incarnation(), now).with_place(self.place(ip))
     }
 
     /// Where a machine stands.
@@ -193,12 +193,12 @@
     }
 
     /// The machines of the zone that `ip` stands in.
-    pub fn neighbours(&self, ip: Ipv4Addr) -> Vec<Ipv4Addr> {
+    pub fn machines_in_zone(&self, ip: Ipv4Addr) -> Vec<Ipv4Addr> {
         self.present().into_iter().filter(|other| self.place(*other) == self.place(ip)).collect()
     }
 
-    pub fn roll(&mut self, sides: u32) -> u32 {
-        self.random.next_u32() % sides
+    pub fn random_below(&mut self, sides: u32) -> u32 {
+        self.rng.next_u32() % sides
     }
 
     /// Machines that count as lost now.
@@ -213,9 +213,9 @@
         self.machines.iter().filter(|(_, machine)| !machine.is_gone).map(|(ip, _)| *ip).collect()
     }
 
-    pub fn pick(&mut self) -> Ipv4Addr {
+    pub fn random_machine(&mut self) -> Ipv4Addr {
         let present = self.present();
-        present[self.roll(present.len() as u32) as usize]
+        present[self.random_below(present.len() as u32) as usize]
     }
 
     /// The machine at the head, if one thinks that it is.
@@ -233,7 +233,7 @@
     pub fn run(&mut self, for_ms: u64) {
         let end = self.now + for_ms;
         while self.now < end {
-            let next_tick = (self.now / TICK + 1) * TICK;
+            let next_tick = (self.now / TICK_MS + 1) * TICK_MS;
             while self.network.peek().is_some_and(|delivery| delivery.at.0 <= next_tick) {
                 self.deliver();
             }
@@ -260,9 +260,10 @@
 
     fn is_cut(&self, from: Ipv4Addr, to: Ipv4Addr) -> bool {
         let is_off = |ip: &Ipv4Addr| self.machines.get(ip).is_none_or(|machine| machine.cut_until > self.now);
-        let is_deaf = self.machines.get(&to).is_some_and(|machine| machine.deaf_until > self.now);
+        let is_inbound_blocked =
+            self.machines.get(&to).is_some_and(|machine| machine.inbound_blocked_until > self.now);
         let is_split = self.split.1 > self.now && self.split.0.contains(&from) != self.split.0.contains(&to);
-        from != to && (is_off(&from) || is_off(&to) || is_deaf || is_split)
+        from != to && (is_off(&from) || is_off(&to) || is_inbound_blocked || is_split)
     }
 
     fn tick(&mut self) {
@@ -275,8 +276,8 @@
                 self.step(ip, Input::Tick);
             }
         }
-        self.watch_committed();
-        self.watch_calm();
+        self.check_committed();
+        self.update_lost_disks();
     }
 
     fn restart(&mut self, ip: Ipv4Addr) {
@@ -300,8 +301,8 @@
                 && !machine.is_gone
                 && machine.down_until.is_none()
                 && machine.controller.is_some()
-                && machine.frozen_until <= self.now + DETECTION / 2
-                && machine.deaf_until <= self.now
+                && machine.frozen_until <= self.now + DETECTION_MS / 2
+                && machine.inbound_blocked_until <= self.now
                 && !self.is_cut(own, **ip)
                 && !own_cut
         };
@@ -330,7 +331,7 @@
     }
 
     fn persist(&mut self, ip: Ipv4Addr, durable: &Durable) {
-        if self.flaw == Flaw::UnsyncedVotes && self.roll(3) > 0 {
+        if self.flaw == Flaw::UnsyncedVotes && self.random_below(3) > 0 {
             return;
         }
         if let Some(machine) = self.machines.get_mut(&ip) {
@@ -339,7 +340,7 @@
     }
 
     fn append(&mut self, ip: Ipv4Addr, view: u64, write: &Write) {
-        if self.flaw == Flaw::UnsyncedVotes && self.roll(3) > 0 {
+        if self.flaw == Flaw::UnsyncedVotes && self.random_below(3) > 0 {
             return;
         }
         let Some(machine) = self.machines.get_mut(&ip) else { return };
@@ -353,10 +354,11 @@
 
     fn send(&mut self, from: Ipv4Addr, to: Ipv4Addr, message: Message) {
         match (&message, self.flaw) {
-            (Message::Confirm { view, life, nonce }, Flaw::UncheckedReads) => {
+            (Message::Confirm { view, incarnation, nonce }, Flaw::UncheckedReads) => {
                 let Some(disk) = self.machines.get(&to).map(|machine| machine.disk.disk) else { return };
                 let id = ElectorId { ip: to.octets(), disk };
-                let forged = Message::Confirmed { from: id, view: *view, life: *life, nonce: *nonce };
+                let forged =
+                    Message::Confirmed { from: id, view: *view, incarnation: *incarnation, nonce: *nonce };
                 self.queue(to, from, forged, 1);
                 // Forged by the world, so it comes even through a cut.
                 return;
@@ -367,11 +369,13 @@
             }
             _ => {}
         }
-        let fate = self.roll(100);
+        let fate = self.random_below(100);
         if fate < 3 {
             return;
         }
-        let delay = 1 + u64::from(self.roll(6)) + if fate < 8 { u64::from(self.roll(LATE)) } else { 0 };
+        let delay = 1
+            + u64::from(self.random_below(6))
+            + if fate < 8 { u64::from(self.random_below(MAX_DELAY)) } else { 0 };
         if fate > 96 {
             self.queue(from, to, message.clone(), delay + 40);
         }
--- a/crates/onyxstile-system/tests/support/control_world/outside.rs
+++ b/crates/onyxstile-system/tests/support/control_world/accessors.rs
@@ -12,7 +12,9 @@
 
     /// Whether a machine is cut off from all others that count.
     pub fn is_cut_off(&self, ip: Ipv4Addr) -> bool {
-        self.machines.get(&ip).is_none_or(|machine| machine.cut_until.max(machine.deaf_until) > self.now)
+        self.machines
+            .get(&ip)
+            .is_none_or(|machine| machine.cut_until.max(machine.inbound_blocked_until) > self.now)
     }
 
     /// Whether two machines reach each other, as far as links are concerned.
@@ -21,8 +23,8 @@
     }
 
     /// Whether all machines have been up and in touch for the time that a return takes.
-    pub fn is_calm(&self) -> bool {
-        self.now >= self.calm_since + CATCH_UP
+    pub fn is_recovered(&self) -> bool {
+        self.now >= self.connected_since + CATCH_UP
     }
 
     /// The id of a machine's disk.
@@ -36,16 +38,16 @@
     }
 
     /// Tells a machine which storage machines membership holds dead.
-    pub fn tell_dead_storage(&mut self, ip: Ipv4Addr, names: Vec<String>) {
+    pub fn set_dead_storage(&mut self, ip: Ipv4Addr, names: Vec<String>) {
         self.step(ip, Input::DeadStorage(names));
     }
 
     /// Hands an operation to a machine; its outcome is among [`World::take_outcomes`] under the number returned.
-    pub fn order(&mut self, to: Ipv4Addr, operation: Operation) -> u64 {
-        self.last_order += 1;
-        let order = self.last_order;
-        self.ask(to, operation, Asked::Order(order));
-        order
+    pub fn submit(&mut self, to: Ipv4Addr, operation: Operation) -> u64 {
+        self.last_submission += 1;
+        let submit = self.last_submission;
+        self.submit_request(to, operation, Request::Submission(submit));
+        submit
     }
 
     /// Outcomes of orders since the last call.
--- a/crates/onyxstile-system/tests/support/control_world/faults.rs
+++ b/crates/onyxstile-system/tests/support/control_world/faults.rs
@@ -13,7 +13,7 @@
         machine.lost_until = until + CATCH_UP;
         // What a process knows of its callers ends with it, and the next one counts from the start.
         machine.last_number = 0;
-        self.asked.retain(|(asked, _), _| *asked != ip);
+        self.pending_requests.retain(|(pending_requests, _), _| *pending_requests != ip);
     }
 
     pub fn wipe(&mut self, ip: Ipv4Addr, for_ms: u64) {
@@ -24,7 +24,7 @@
             let kept = machine.disk.clone();
             machine.disk = Controller::empty(disk);
             machine.is_disk_lost = true;
-            if flaw == Flaw::ForgottenIdentity {
+            if flaw == Flaw::ReusedIdentity {
                 machine.disk.disk = kept.disk;
                 machine.disk.view = kept.view.as_ref().map(|view| {
                     let mut first = (**view).clone();
@@ -33,7 +33,7 @@
                 });
             }
         }
-        self.calm_since = self.now;
+        self.connected_since = self.now;
         self.kill(ip, for_ms);
     }
 
@@ -54,10 +54,10 @@
     }
 
     /// Nothing reaches a machine, what it sends goes out.
-    pub fn deafen(&mut self, ip: Ipv4Addr, for_ms: u64) {
+    pub fn block_inbound(&mut self, ip: Ipv4Addr, for_ms: u64) {
         let until = self.now + for_ms;
         if let Some(machine) = self.machines.get_mut(&ip) {
-            machine.deaf_until = until;
+            machine.inbound_blocked_until = until;
             machine.lost_until = until + CATCH_UP;
         }
     }
@@ -65,7 +65,7 @@
     /// Cuts the machines into two halves.
     pub fn split(&mut self, for_ms: u64) {
         let present = self.present();
-        let half = present.into_iter().filter(|_| self.random.next_u32().is_multiple_of(2)).collect();
+        let half = present.into_iter().filter(|_| self.rng.next_u32().is_multiple_of(2)).collect();
         self.split = (half, self.now + for_ms);
     }
 
@@ -81,22 +81,22 @@
         for machine in self.machines.values_mut() {
             machine.frozen_until = machine.frozen_until.min(now);
             machine.cut_until = machine.cut_until.min(now);
-            machine.deaf_until = machine.deaf_until.min(now);
+            machine.inbound_blocked_until = machine.inbound_blocked_until.min(now);
             machine.down_until = machine.down_until.map(|until| until.min(now + for_ms));
         }
     }
 
     /// Disks count as lost until all machines have been up and in touch for the time that a return takes.
-    pub(super) fn watch_calm(&mut self) {
+    pub(super) fn update_lost_disks(&mut self) {
         let now = self.now;
         let is_in_touch = |machine: &Machine| {
             machine.is_gone
                 || (machine.down_until.is_none()
-                    && machine.frozen_until.max(machine.cut_until).max(machine.deaf_until) <= now)
+                    && machine.frozen_until.max(machine.cut_until).max(machine.inbound_blocked_until) <= now)
         };
         if self.split.1 > now || !self.machines.values().all(is_in_touch) {
-            self.calm_since = now;
-        } else if now >= self.calm_since + CATCH_UP {
+            self.connected_since = now;
+        } else if now >= self.connected_since + CATCH_UP {
             self.machines.values_mut().for_each(|machine| machine.is_disk_lost = false);
         }
     }
@@ -115,7 +115,7 @@
         self.next_disk += 1;
         let lost_until = self.now + CATCH_UP;
         self.add(fresh, Controller::empty(self.next_disk), lost_until);
-        self.calm_since = self.now;
+        self.connected_since = self.now;
     }
 
     pub fn kill_all(&mut self, for_ms: u64) {
--- a/crates/onyxstile-system/tests/support/control_world/operators.rs
+++ b/crates/onyxstile-system/tests/support/control_world/operators.rs
@@ -9,46 +9,50 @@
         let body = format!("{{\"revision\":{revision},\"note\":{unique},\"routes\":[],\"services\":[]}}");
         let body = Rc::new(body.into_bytes());
         self.changes.push(Change { base, revision, body, acknowledged_at: None, is_refused: false });
-        self.put_again(to, unique);
+        self.resend_change(to, unique);
         unique
     }
 
     /// The operator sends a change again, unchanged.
-    pub fn put_again(&mut self, to: Ipv4Addr, change: usize) {
+    pub fn resend_change(&mut self, to: Ipv4Addr, change: usize) {
         let Change { base, body, .. } = self.changes[change].clone();
-        self.ask(to, Operation::PutConfiguration { base: Some(base), body }, Asked::Change(change));
+        self.submit_request(
+            to,
+            Operation::PutConfiguration { base: Some(base), body },
+            Request::Change(change),
+        );
     }
 
     /// The operator reads the configuration at a machine.
     pub fn read(&mut self, from: Ipv4Addr) {
         let began = self.now;
-        self.ask(from, Operation::GetConfiguration, Asked::Read { began });
+        self.submit_request(from, Operation::GetConfiguration, Request::Read { began });
     }
 
-    pub(super) fn ask(&mut self, to: Ipv4Addr, operation: Operation, asked: Asked) {
+    pub(super) fn submit_request(&mut self, to: Ipv4Addr, operation: Operation, pending_requests: Request) {
         let Some(machine) = self.machines.get_mut(&to).filter(|machine| machine.controller.is_some()) else {
             return;
         };
         machine.last_number += 1;
         let number = machine.last_number;
-        self.asked.insert((to, number), asked);
+        self.pending_requests.insert((to, number), pending_requests);
         self.step(to, Input::Operation { number, operation });
     }
 
     pub(super) fn reply(&mut self, ip: Ipv4Addr, number: u64, outcome: Outcome) {
-        match (self.asked.remove(&(ip, number)), outcome) {
-            (Some(Asked::Order(order)), outcome) => self.outcomes.push((order, outcome)),
-            (Some(Asked::Change(change)), Outcome::Done) => self.acknowledged(change),
-            (Some(Asked::Change(change)), Outcome::Conflict(_) | Outcome::Invalid(_)) => {
+        match (self.pending_requests.remove(&(ip, number)), outcome) {
+            (Some(Request::Submission(submit)), outcome) => self.outcomes.push((submit, outcome)),
+            (Some(Request::Change(change)), Outcome::Done) => self.acknowledged(change),
+            (Some(Request::Change(change)), Outcome::Conflict(_) | Outcome::Invalid(_)) => {
                 self.changes[change].is_refused = true;
                 if self.changes[change].acknowledged_at.is_some() {
                     self.violations
                         .push(format!("{}: change {change} was acknowledged and then refused", self.now));
                 }
             }
-            (Some(Asked::Read { began }), Outcome::Configuration(read)) => {
+            (Some(Request::Read { began }), Outcome::Configuration(read)) => {
                 let revision = read.as_ref().map_or(0, |read| read.revision);
-                self.judge_read(began, revision, read.as_ref().map(|read| read.body.as_slice()));
+                self.check_read(began, revision, read.as_ref().map(|read| read.body.as_slice()));
             }
             _ => {}
         }
@@ -71,7 +75,7 @@
         self.changes[change].acknowledged_at.get_or_insert(now);
     }
 
-    pub(super) fn judge_read(&mut self, began: u64, revision: u64, body: Option<&[u8]>) {
+    pub(super) fn check_read(&mut self, began: u64, revision: u64, body: Option<&[u8]>) {
         self.reads += 1;
         let acknowledged = self
             .changes
@@ -98,7 +102,7 @@
     }
 
     /// What machines tell relays as committed never differs under one sequence.
-    pub(super) fn watch_committed(&mut self) {
+    pub(super) fn check_committed(&mut self) {
         let mut seen = BTreeSet::new();
         for machine in self.machines.values() {
             let Some(state) = machine.controller.as_ref().and_then(Controller::committed_state) else {
@@ -158,7 +162,7 @@
         let end = self.now + for_ms;
         while self.now < end {
             let base = self.newest_committed();
-            let to = self.pick();
+            let to = self.random_machine();
             let change = self.put(to, base, base + 1);
             self.run(300);
             if self.changes[change].acknowledged_at.is_some() {
--- a/crates/onyxstile-system/tests/support/tier_world.rs
+++ b/crates/onyxstile-system/tests/support/tier_world.rs
@@ -10,7 +10,7 @@
 use onyxstile_system::program::{
     Admission, ClaimSummary, Entry, Quorum, Record, Source, Turn, admit, fits, merge_claims,
 };
-use onyxstile_system::registry::{Copies, holders_needed};
+use onyxstile_system::registry::{DrainSync, replicas_needed};
 use onyxstile_system::storage_plan::{Observed, StoragePlan};
 use onyxstile_system::tolerance::Tolerance;
 
@@ -57,7 +57,7 @@
 struct Drains {
     disk: u64,
     held: BTreeSet<u32>,
-    copies: Copies,
+    copies: DrainSync,
 }
 
 /// All machines.
@@ -140,7 +140,7 @@
     }
 
     pub fn roll(&mut self, sides: u32) -> u32 {
-        self.control.roll(sides)
+        self.control.random_below(sides)
     }
 
     fn see(&mut self, what: &'static str) {
@@ -204,8 +204,8 @@
     /// The operator asks that a storage machine be emptied.
     pub fn retire(&mut self, ip: Ipv4Addr) {
         let name = self.stores[&ip].node.name.clone();
-        let to = self.control.pick();
-        self.control.order(to, Operation::Retire(name));
+        let to = self.control.random_machine();
+        self.control.submit(to, Operation::Retire(name));
     }
 
     fn ask_for_retirement(&mut self) {
@@ -214,8 +214,8 @@
             .into_iter()
             .find(|name| self.stores.values().any(|store| store.node.name == *name && !store.is_gone));
         if let Some(name) = waiting {
-            let to = self.control.pick();
-            let order = self.control.order(to, Operation::GetRetire(name.clone()));
+            let to = self.control.random_machine();
+            let order = self.control.submit(to, Operation::GetRetire(name.clone()));
             self.retiring.insert(order, name);
         }
     }
@@ -301,7 +301,7 @@
             self.calm_since = now;
         }
         // Disks count as lost until all machines have been in touch for the time that a return takes.
-        if now >= self.calm_since + CATCH_UP && self.control.is_calm() {
+        if now >= self.calm_since + CATCH_UP && self.control.is_recovered() {
             self.stores.values_mut().for_each(|store| store.is_disk_lost = false);
         }
     }
--- a/crates/onyxstile-system/tests/support/tier_world/drains.rs
+++ b/crates/onyxstile-system/tests/support/tier_world/drains.rs
@@ -23,7 +23,7 @@
             *drains = Drains {
                 disk,
                 held: BTreeSet::new(),
-                copies: Copies::new(is_founder && ip.octets()[3] <= 3),
+                copies: DrainSync::new(is_founder && ip.octets()[3] <= 3),
             };
         }
         drains
@@ -36,25 +36,25 @@
         }
         let octets: Vec<[u8; 4]> = electors.iter().map(Ipv4Addr::octets).collect();
         for to in self.control.present() {
-            let from = electors[self.control.roll(electors.len() as u32) as usize];
-            let is_due = self.control.roll(4) == 0 && from != to && self.control.is_linked(from, to);
+            let from = electors[self.control.random_below(electors.len() as u32) as usize];
+            let is_due = self.control.random_below(4) == 0 && from != to && self.control.is_linked(from, to);
             if !is_due || !self.control.is_up(to) || !self.control.is_up(from) {
                 continue;
             }
             let (held, is_whole) = {
                 let drains = self.drains(from);
-                (drains.held.clone(), drains.copies.is_whole())
+                (drains.held.clone(), drains.copies.is_complete())
             };
             let drains = self.drains(to);
             drains.held.extend(held);
-            drains.copies.pulled(from.octets(), is_whole);
-            drains.copies.review(to.octets(), &octets);
+            drains.copies.record_pull(from.octets(), is_whole);
+            drains.copies.check_complete(to.octets(), &octets);
         }
     }
 
     /// An endpoint says that it leaves: to a controller, which has it held by others before it acknowledges.
     pub fn drain(&mut self) {
-        let first = self.control.pick();
+        let first = self.control.random_machine();
         let electors = match self.control.controller_at(first).and_then(|controller| controller.view()) {
             Some(view) if self.control.is_up(first) => view.electors.clone(),
             _ => return,
@@ -65,7 +65,7 @@
         self.next_drain += 1;
         let drain = self.next_drain;
         self.drains(first).held.insert(drain);
-        let needed = holders_needed(electors.len(), self.tolerance.losses());
+        let needed = replicas_needed(electors.len(), self.tolerance.losses());
         let others: Vec<Ipv4Addr> =
             electors.iter().map(|id| id.address()).filter(|ip| *ip != first).collect();
         let mut held = 0;
@@ -87,7 +87,7 @@
         let mut heard: Vec<Ipv4Addr> = Vec::new();
         for ip in electors.iter().copied() {
             // Some don't answer in time.
-            if self.control.is_up(ip) && self.roll(3) > 0 && self.drains(ip).copies.is_whole() {
+            if self.control.is_up(ip) && self.roll(3) > 0 && self.drains(ip).copies.is_complete() {
                 heard.push(ip);
             }
         }
--- a/crates/onyxstile-system/tests/support/tier_world/plans.rs
+++ b/crates/onyxstile-system/tests/support/tier_world/plans.rs
@@ -51,8 +51,8 @@
         let is_dead = |ip: &Ipv4Addr| self.dead_since.get(ip).is_some_and(|since| now >= since + DETECTION);
         let dead = self.stores.iter().filter(|(ip, _)| is_dead(ip)).map(|(_, store)| store.node.name.clone());
         let dead = dead.collect();
-        self.control.tell_dead_storage(head, dead);
-        let Some(controller) = self.control.controller_at(head).filter(|head| head.is_settled()) else {
+        self.control.set_dead_storage(head, dead);
+        let Some(controller) = self.control.controller_at(head).filter(|head| head.is_stable()) else {
             return;
         };
         let Some(state) = controller.committed_state() else { return };
@@ -70,7 +70,7 @@
                 self.see("plan changes ended");
             }
             self.planned_at = now;
-            self.control.order(head, Operation::Plan(Rc::new(plan)));
+            self.control.submit(head, Operation::Plan(Rc::new(plan)));
         }
     }
 
--- a/crates/onyxstile-system/tests/tier_histories.rs
+++ b/crates/onyxstile-system/tests/tier_histories.rs
@@ -44,7 +44,7 @@
             3 | 4 => tier.run_turn(),
             _ => {
                 let base = tier.control.newest_committed();
-                let to = tier.control.pick();
+                let to = tier.control.random_machine();
                 tier.control.put(to, base, base + 1);
             }
         }
@@ -55,7 +55,7 @@
     if tier.roll(4) == 0 {
         tier.start_relay();
     }
-    let reader = tier.control.pick();
+    let reader = tier.control.random_machine();
     tier.control.read(reader);
 }
 
@@ -67,7 +67,7 @@
     };
     let may_lose = tier.disks_lost() < 1;
     let store = tier.pick_store();
-    let core = tier.control.pick();
+    let core = tier.control.random_machine();
     let until = tier.now() + time;
     match tier.roll(22) {
         0 => tier.kill_store(store, time),
