--- a/crates/onyxstile-system/src/controller.rs
+++ b/crates/onyxstile-system/src/controller.rs
@@ -21,7 +21,7 @@
 mod view_transfer;
 
 pub use events::{Effect, Input};
-pub use membership::{Places, next_membership};
+pub use membership::{Locations, next_membership};
 pub use operations::{Evaluation, evaluate};
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -67,7 +67,7 @@
     durable: Durable,
     live: Vec<ElectorId>,
     dead_storage: Vec<String>,
-    places: Places,
+    locations: Locations,
     started: Instant,
     committed: u64,
     stable: ControlState,
@@ -103,7 +103,7 @@
             durable,
             live: Vec::new(),
             dead_storage: Vec::new(),
-            places: Places::new(),
+            locations: Locations::new(),
             started: now,
             committed: stable.sequence,
             stable,
@@ -125,8 +125,8 @@
     }
 
     /// The same controller on a machine that stands at `place`.
-    pub fn with_place(mut self, place: Place) -> Controller {
-        self.places.insert(self.id.ip, place);
+    pub fn with_location(mut self, location: Place) -> Controller {
+        self.locations.insert(self.id.ip, location);
         self
     }
 
@@ -147,7 +147,7 @@
             }
             Input::Live(live) => {
                 self.live = live.iter().map(|(id, _)| *id).collect();
-                self.places.extend(live.into_iter().map(|(id, place)| (id.ip, place)));
+                self.locations.extend(live.into_iter().map(|(id, location)| (id.ip, location)));
             }
             Input::DeadStorage(names) => self.dead_storage = names,
             Input::Tick => self.tick(now),
--- a/crates/onyxstile-system/src/controller/agreement.rs
+++ b/crates/onyxstile-system/src/controller/agreement.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::Controller;
-use super::membership::{Places, next_membership};
+use super::membership::{Locations, next_membership};
 use crate::clock::Instant;
 use crate::control::{Ballot, ControlState, ElectorId, Message, View};
 use crate::tolerance::Tolerance;
@@ -43,8 +43,8 @@
     /// Proposes a view where one is needed: the first live elector at once, each later one after a pause.
     pub(super) fn maintain_view(&mut self, now: Instant) {
         let Some(view) = self.durable.view.clone() else { return };
-        let is_needed =
-            self.is_wedged() || next_membership(&view, &self.alive(), self.tolerance, &self.places).is_some();
+        let is_needed = self.is_wedged()
+            || next_membership(&view, &self.alive(), self.tolerance, &self.locations).is_some();
         let Some(rank) =
             self.rank(&view).filter(|_| is_needed && !self.awaits_restarted_electors(now, &view))
         else {
@@ -67,7 +67,7 @@
     /// within moments of one another; a view without those that are on their way would be followed by another that takes
     /// them in. Meanwhile relays go on in the view that was (`settlement`).
     fn awaits_restarted_electors(&self, now: Instant, view: &View) -> bool {
-        let is_met = |id: &ElectorId| self.places.contains_key(&id.ip) || id.ip == self.id.ip;
+        let is_met = |id: &ElectorId| self.locations.contains_key(&id.ip) || id.ip == self.id.ip;
         now.since(self.started) < RESTART_GRACE && !view.electors.iter().all(is_met)
     }
 
@@ -147,7 +147,7 @@
             return;
         }
         let own = &self.durable.state;
-        let value = Rc::new(choose_view(&current, proposal, own, &alive, self.tolerance, &self.places));
+        let value = Rc::new(choose_view(&current, proposal, own, &alive, self.tolerance, &self.locations));
         proposal.value = Some(value.clone());
         for elector in &current.electors {
             self.send(elector.address(), Message::Accept { ballot, value: value.clone() });
@@ -237,7 +237,7 @@
 /// promised and of the proposer, which has told its own.
 fn choose_view(
     current: &View, proposal: &Proposal, own: &ControlState, alive: &[ElectorId], tolerance: Tolerance,
-    places: &Places,
+    locations: &Locations,
 ) -> View {
     let accepted = proposal.promises.iter().filter_map(|promised| promised.accepted.as_ref());
     if let Some((_, value)) = accepted.max_by_key(|(ballot, _)| *ballot) {
@@ -246,7 +246,7 @@
     let promised = proposal.promises.iter().filter_map(|promised| promised.state.as_ref());
     let newest = promised.chain([own]).max_by_key(|state| state.sequence);
     let state = newest.cloned().unwrap_or_else(|| current.state.clone());
-    let (electors, chain) = next_membership(current, alive, tolerance, places)
+    let (electors, chain) = next_membership(current, alive, tolerance, locations)
         .unwrap_or_else(|| (current.electors.clone(), current.chain.clone()));
     View { number: current.number + 1, electors, chain, state }
 }
--- a/crates/onyxstile-system/src/controller/chain.rs
+++ b/crates/onyxstile-system/src/controller/chain.rs
@@ -11,8 +11,8 @@
 impl Controller {
     fn neighbour(&self, step: isize) -> Option<ElectorId> {
         let view = self.durable.view.as_ref()?;
-        let place = view.chain.iter().position(|id| *id == self.id)?;
-        let other = place.checked_add_signed(step)?;
+        let index = view.chain.iter().position(|id| *id == self.id)?;
+        let other = index.checked_add_signed(step)?;
         view.chain.get(other).copied()
     }
 
--- a/crates/onyxstile-system/src/controller/membership.rs
+++ b/crates/onyxstile-system/src/controller/membership.rs
@@ -6,16 +6,16 @@
 use crate::tolerance::{Place, Tolerance};
 
 /// Where each core machine stands that was ever heard of; one that wasn't counts as a zone and region of no name.
-pub type Places = BTreeMap<[u8; 4], Place>;
+pub type Locations = BTreeMap<[u8; 4], Place>;
 
 /// The electors and the chain that a next view should have; `None` if this view is to stay or too few are alive.
 ///
 /// A machine with another disk takes the place of what it was; a newcomer takes that of a dead machine; more electors
 /// than a group holds are kept only while all of them live and no zone or region that may be lost holds too many.
 pub fn next_membership(
-    view: &View, alive: &[ElectorId], tolerance: Tolerance, places: &Places,
+    view: &View, alive: &[ElectorId], tolerance: Tolerance, locations: &Locations,
 ) -> Option<(Vec<ElectorId>, Vec<ElectorId>)> {
-    let electors = electors(view, alive, tolerance, places);
+    let electors = electors(view, alive, tolerance, locations);
     let chain = chain(view, &electors, alive);
     if chain.len() < min_chain_length(electors.len(), tolerance) {
         return None;
@@ -23,11 +23,11 @@
     (electors != view.electors || chain != view.chain).then_some((electors, chain))
 }
 
-fn electors(view: &View, alive: &[ElectorId], tolerance: Tolerance, places: &Places) -> Vec<ElectorId> {
+fn electors(view: &View, alive: &[ElectorId], tolerance: Tolerance, locations: &Locations) -> Vec<ElectorId> {
     let mut electors = view.electors.clone();
     for newcomer in alive.iter().filter(|id| !view.electors.contains(id)) {
         let same_machine = electors.iter().position(|id| id.ip == newcomer.ip);
-        let replaced = same_machine.or_else(|| replaceable_elector(&electors, alive, newcomer, places));
+        let replaced = same_machine.or_else(|| replaceable_elector(&electors, alive, newcomer, locations));
         match replaced {
             Some(index) => electors[index] = *newcomer,
             None => electors.push(*newcomer),
@@ -38,8 +38,8 @@
         let Some(index) = electors.iter().position(|id| !alive.contains(id)) else { break };
         electors.remove(index);
     }
-    while electors.len() > group_size && !keeps_majority(&electors, tolerance, places) {
-        let index = index_in_largest_domain(&electors, tolerance, places);
+    while electors.len() > group_size && !keeps_majority(&electors, tolerance, locations) {
+        let index = index_in_largest_domain(&electors, tolerance, locations);
         electors.remove(index);
     }
     electors
@@ -48,29 +48,30 @@
 /// The dead elector whose place a newcomer takes: one that stands where it does, for a successor mostly comes there, else
 /// any. Which of several dead ones is gone for good nobody can tell.
 fn replaceable_elector(
-    electors: &[ElectorId], alive: &[ElectorId], newcomer: &ElectorId, places: &Places,
+    electors: &[ElectorId], alive: &[ElectorId], newcomer: &ElectorId, locations: &Locations,
 ) -> Option<usize> {
     let is_dead = |id: &ElectorId| !alive.contains(id);
-    let place = places.get(&newcomer.ip);
-    let is_same_place = |id: &ElectorId| place.is_some() && places.get(&id.ip) == place;
-    let nearby = electors.iter().position(|id| is_dead(id) && is_same_place(id));
+    let location = locations.get(&newcomer.ip);
+    let is_same_location = |id: &ElectorId| location.is_some() && locations.get(&id.ip) == location;
+    let nearby = electors.iter().position(|id| is_dead(id) && is_same_location(id));
     nearby.or_else(|| electors.iter().position(is_dead))
 }
 
-fn keeps_majority(electors: &[ElectorId], tolerance: Tolerance, places: &Places) -> bool {
+fn keeps_majority(electors: &[ElectorId], tolerance: Tolerance, locations: &Locations) -> bool {
     let unknown = Place::default();
-    let stand: Vec<&Place> = electors.iter().map(|id| places.get(&id.ip).unwrap_or(&unknown)).collect();
-    tolerance.keeps_majority(&stand)
+    let elector_locations: Vec<&Place> =
+        electors.iter().map(|id| locations.get(&id.ip).unwrap_or(&unknown)).collect();
+    tolerance.keeps_majority(&elector_locations)
 }
 
 /// The last elector of the zone with the most of them; where regions may be lost, of the region with the most first.
-fn index_in_largest_domain(electors: &[ElectorId], tolerance: Tolerance, places: &Places) -> usize {
+fn index_in_largest_domain(electors: &[ElectorId], tolerance: Tolerance, locations: &Locations) -> usize {
     let unknown = Place::default();
-    let place = |id: &ElectorId| places.get(&id.ip).unwrap_or(&unknown);
+    let location = |id: &ElectorId| locations.get(&id.ip).unwrap_or(&unknown);
     let domain_sizes = |id: &ElectorId| {
-        let here = place(id);
-        let region = electors.iter().filter(|other| place(other).region == here.region).count();
-        let zone = electors.iter().filter(|other| place(other) == here).count();
+        let here = location(id);
+        let region = electors.iter().filter(|other| location(other).region == here.region).count();
+        let zone = electors.iter().filter(|other| location(other) == here).count();
         (if tolerance.regions > 0 { region } else { 0 }, zone)
     };
     let last = |index: &usize| (domain_sizes(&electors[*index]), *index);
--- a/crates/onyxstile-system/src/controller/operations.rs
+++ b/crates/onyxstile-system/src/controller/operations.rs
@@ -31,13 +31,13 @@
             self.finish(token, Outcome::Unknown);
             return;
         };
-        let place = if operation.is_read() { view.chain.last() } else { view.chain.first() };
-        let Some(place) = place.copied() else { return };
-        if place != self.id {
+        let member = if operation.is_read() { view.chain.last() } else { view.chain.first() };
+        let Some(member) = member.copied() else { return };
+        if member != self.id {
             // A forwarded one that finds no place here is answered by its origin's time-out.
             // Nor can one here be passed on to what this machine was before it lost its disk.
-            if token.origin == self.id.ip && place.ip != self.id.ip {
-                self.send(place.address(), Message::Forward { token, operation });
+            if token.origin == self.id.ip && member.ip != self.id.ip {
+                self.send(member.address(), Message::Forward { token, operation });
             } else {
                 self.finish(token, Outcome::Unknown);
             }
@@ -192,9 +192,9 @@
             Evaluation::Answer(Outcome::Configuration(state.configuration.clone()))
         }
         Operation::Retire(name) => retire(state, name, tolerance, dead_storage),
-        Operation::GetRetire(name) => {
-            Evaluation::Answer(state.storage.retirement(name).map_or(Outcome::NotFound, Outcome::Retirement))
-        }
+        Operation::GetRetire(name) => Evaluation::Answer(
+            state.storage.is_retirement_complete(name).map_or(Outcome::NotFound, Outcome::Retirement),
+        ),
         Operation::Plan(plan) if plan.epoch == state.storage.epoch + 1 => {
             Evaluation::Write(Change::Storage(plan.clone()))
         }
--- a/crates/onyxstile-system/tests/control_histories.rs
+++ b/crates/onyxstile-system/tests/control_histories.rs
@@ -4,72 +4,74 @@
 
 use onyxstile_system::clock::Instant;
 use onyxstile_system::control::{ElectorId, Message, Operation, View};
-use onyxstile_system::controller::{Controller, Input, Places, next_membership};
+use onyxstile_system::controller::{Controller, Input, Locations, next_membership};
 use onyxstile_system::tolerance::Tolerance;
-use support::control_world::{CATCH_UP, Flaw, World};
+use support::control_simulation::{CATCH_UP, ControlSimulation, Flaw};
 use support::variable;
 
 /// One history of faults and operators; what the checker found.
-fn run_history(count: u8, tolerated: usize, seed: u64, flaw: Flaw, rounds: u32) -> (World, usize) {
-    let mut world = World::new(count, tolerated, seed, flaw);
-    world.run(1500);
+fn run_history(
+    count: u8, tolerated: usize, seed: u64, flaw: Flaw, rounds: u32,
+) -> (ControlSimulation, usize) {
+    let mut simulation = ControlSimulation::new(count, tolerated, seed, flaw);
+    simulation.run(1500);
     let mut faults = 0;
     for _ in 0..rounds {
-        submit_operations(&mut world);
-        if world.lost() < tolerated && world.random_below(3) == 0 {
-            inject_fault(&mut world);
+        submit_operations(&mut simulation);
+        if simulation.lost() < tolerated && simulation.random_below(3) == 0 {
+            inject_fault(&mut simulation);
             faults += 1;
-        } else if world.lost() == 0 && world.random_below(40) == 0 {
-            let down = 100 + u64::from(world.random_below(900));
-            world.kill_all(down);
+        } else if simulation.lost() == 0 && simulation.random_below(40) == 0 {
+            let down = 100 + u64::from(simulation.random_below(900));
+            simulation.kill_all(down);
             faults += 1;
         }
-        let pause = 50 + u64::from(world.random_below(400));
-        world.run(pause);
+        let pause = 50 + u64::from(simulation.random_below(400));
+        simulation.run(pause);
     }
-    world.run(CATCH_UP + 3000);
-    (world, faults)
+    simulation.run(CATCH_UP + 3000);
+    (simulation, faults)
 }
 
-fn submit_operations(world: &mut World) {
-    let base = world.newest_committed();
-    let rise = 1 + u64::from(world.random_below(3));
-    let to = world.random_machine();
-    let change = world.put(to, base, base + rise);
-    match world.random_below(6) {
+fn submit_operations(simulation: &mut ControlSimulation) {
+    let base = simulation.newest_committed();
+    let rise = 1 + u64::from(simulation.random_below(3));
+    let to = simulation.random_machine();
+    let change = simulation.put(to, base, base + rise);
+    match simulation.random_below(6) {
         0 => {
-            let other = world.random_machine();
-            world.put(other, base, base + rise);
+            let other = simulation.random_machine();
+            simulation.put(other, base, base + rise);
         }
         1 => {
-            let again = world.random_machine();
-            world.resend_change(again, change);
+            let again = simulation.random_machine();
+            simulation.resend_change(again, change);
         }
         2 if change > 3 => {
-            let earlier = world.random_below(change as u32) as usize;
-            let again = world.random_machine();
-            world.resend_change(again, earlier);
+            let earlier = simulation.random_below(change as u32) as usize;
+            let again = simulation.random_machine();
+            simulation.resend_change(again, earlier);
         }
         _ => {}
     }
-    let reader = world.random_machine();
-    world.read(reader);
+    let reader = simulation.random_machine();
+    simulation.read(reader);
 }
 
-fn inject_fault(world: &mut World) {
-    let target = if world.random_below(2) == 0 { world.head() } else { None };
-    let target = target.unwrap_or_else(|| world.random_machine());
-    let time = 100 + u64::from(world.random_below(3500));
-    match world.random_below(6) {
-        0 => world.kill(target, time),
-        1 => world.wipe(target, time),
-        2 => world.freeze(target, time),
-        3 => world.cut(target, time),
-        4 => world.replace(target),
+fn inject_fault(simulation: &mut ControlSimulation) {
+    let target = if simulation.random_below(2) == 0 { simulation.head() } else { None };
+    let target = target.unwrap_or_else(|| simulation.random_machine());
+    let time = 100 + u64::from(simulation.random_below(3500));
+    match simulation.random_below(6) {
+        0 => simulation.kill(target, time),
+        1 => simulation.wipe(target, time),
+        2 => simulation.freeze(target, time),
+        3 => simulation.cut(target, time),
+        4 => simulation.replace(target),
         _ => {
-            let just_acknowledged = 1 + u64::from(world.random_below(30));
-            world.run(just_acknowledged);
-            world.wipe(target, time);
+            let just_acknowledged = 1 + u64::from(simulation.random_below(30));
+            simulation.run(just_acknowledged);
+            simulation.wipe(target, time);
         }
     }
 }
@@ -81,46 +83,48 @@
 
 /// One history of losses that overlap as they come, cuts of 20 s among them; no more disks are lost at a time than are
 /// tolerated. Operators press all the while. At the end all machines are back.
-fn run_overlapping_history(count: u8, tolerated: usize, seed: u64, flaw: Flaw, rounds: u32) -> World {
-    let mut world = World::new(count, tolerated, seed, flaw);
-    world.run(1500);
+fn run_overlapping_history(
+    count: u8, tolerated: usize, seed: u64, flaw: Flaw, rounds: u32,
+) -> ControlSimulation {
+    let mut simulation = ControlSimulation::new(count, tolerated, seed, flaw);
+    simulation.run(1500);
     for _ in 0..rounds {
-        for _ in 0..1 + world.random_below(3) {
-            submit_operations(&mut world);
+        for _ in 0..1 + simulation.random_below(3) {
+            submit_operations(&mut simulation);
         }
-        if world.random_below(3) == 0 {
-            inject_overlapping_fault(&mut world, tolerated);
+        if simulation.random_below(3) == 0 {
+            inject_overlapping_fault(&mut simulation, tolerated);
         }
-        if world.random_below(25) == 0 {
-            world.heal(300);
-            world.run(CATCH_UP + 1000);
+        if simulation.random_below(25) == 0 {
+            simulation.heal(300);
+            simulation.run(CATCH_UP + 1000);
         }
-        let pause = 20 + u64::from(world.random_below(300));
-        world.run(pause);
+        let pause = 20 + u64::from(simulation.random_below(300));
+        simulation.run(pause);
     }
-    world.heal(300);
-    world.run(CATCH_UP + 3000);
-    world
+    simulation.heal(300);
+    simulation.run(CATCH_UP + 3000);
+    simulation
 }
 
-fn inject_overlapping_fault(world: &mut World, tolerated: usize) {
-    let target = if world.random_below(2) == 0 { world.head() } else { None };
-    let target = target.unwrap_or_else(|| world.random_machine());
-    let time = match world.random_below(4) {
+fn inject_overlapping_fault(simulation: &mut ControlSimulation, tolerated: usize) {
+    let target = if simulation.random_below(2) == 0 { simulation.head() } else { None };
+    let target = target.unwrap_or_else(|| simulation.random_machine());
+    let time = match simulation.random_below(4) {
         0 => 20_000,
-        1 => 100 + u64::from(world.random_below(3500)),
-        _ => 20 + u64::from(world.random_below(400)),
+        1 => 100 + u64::from(simulation.random_below(3500)),
+        _ => 20 + u64::from(simulation.random_below(400)),
     };
-    match world.random_below(10) {
-        0..=2 => world.kill(target, time),
-        3 => world.freeze(target, time),
-        4 => world.cut(target, time),
-        5 => world.block_inbound(target, time),
-        6 => world.split(time),
-        7 if world.random_below(3) == 0 => world.kill_all(time),
-        8 if world.disks_lost() < tolerated => world.replace(target),
-        _ if world.disks_lost() < tolerated => world.wipe(target, time),
-        _ => world.kill(target, time),
+    match simulation.random_below(10) {
+        0..=2 => simulation.kill(target, time),
+        3 => simulation.freeze(target, time),
+        4 => simulation.cut(target, time),
+        5 => simulation.block_inbound(target, time),
+        6 => simulation.split(time),
+        7 if simulation.random_below(3) == 0 => simulation.kill_all(time),
+        8 if simulation.disks_lost() < tolerated => simulation.replace(target),
+        _ if simulation.disks_lost() < tolerated => simulation.wipe(target, time),
+        _ => simulation.kill(target, time),
     }
 }
 
@@ -129,34 +133,34 @@
     let first = variable("FIRST", 0);
     for (count, tolerated) in [(5, 2), (4, 1), (3, 1)] {
         for seed in first..first + history_count() {
-            let mut world = run_overlapping_history(count, tolerated, seed, Flaw::None, 40);
-            assert!(world.violations.is_empty(), "{count}, seed {seed}: {:?}", world.violations);
-            let serves = world.serves_within(8000);
+            let mut simulation = run_overlapping_history(count, tolerated, seed, Flaw::None, 40);
+            assert!(simulation.violations.is_empty(), "{count}, seed {seed}: {:?}", simulation.violations);
+            let serves = simulation.serves_within(8000);
             assert!(
                 serves,
                 "{count}, seed {seed}: nothing is acknowledged after the return
 {}",
-                world.describe()
+                simulation.describe()
             );
-            assert!(world.violations.is_empty(), "{count}, seed {seed}: {:?}", world.violations);
+            assert!(simulation.violations.is_empty(), "{count}, seed {seed}: {:?}", simulation.violations);
         }
     }
 }
 
 fn check(count: u8, tolerated: usize, seeds: std::ops::Range<u64>, rounds: u32) {
     for seed in seeds {
-        let (mut world, faults) = run_history(count, tolerated, seed, Flaw::None, rounds);
-        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
-        assert!(world.serves_within(6000), "seed {seed}: nothing is acknowledged after {faults} faults");
+        let (mut simulation, faults) = run_history(count, tolerated, seed, Flaw::None, rounds);
+        assert!(simulation.violations.is_empty(), "seed {seed}: {:?}", simulation.violations);
+        assert!(simulation.serves_within(6000), "seed {seed}: nothing is acknowledged after {faults} faults");
         // A read's messages may be lost like all others; the reader asks again.
-        let before = world.reads;
+        let before = simulation.reads;
         for _ in 0..8 {
-            let reader = world.random_machine();
-            world.read(reader);
-            world.run(500);
+            let reader = simulation.random_machine();
+            simulation.read(reader);
+            simulation.run(500);
         }
-        assert!(world.reads > before, "seed {seed}: no read is answered in calm");
-        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
+        assert!(simulation.reads > before, "seed {seed}: no read is answered in calm");
+        assert!(simulation.violations.is_empty(), "seed {seed}: {:?}", simulation.violations);
     }
 }
 
@@ -173,36 +177,36 @@
 #[test]
 fn a_stale_and_a_restarted_elector_suffice_when_the_third_lost_its_disk() {
     for seed in 0..20 {
-        let mut world = World::new(3, 1, seed, Flaw::None);
-        world.run(1500);
-        let Some(behind) = world.present().into_iter().find(|ip| Some(*ip) != world.head()) else {
+        let mut simulation = ControlSimulation::new(3, 1, seed, Flaw::None);
+        simulation.run(1500);
+        let Some(behind) = simulation.present().into_iter().find(|ip| Some(*ip) != simulation.head()) else {
             panic!("no head")
         };
-        world.cut(behind, 6000);
-        world.run(2500);
-        assert!(world.serves_within(3000), "seed {seed}: two of three go on");
-        let others: Vec<_> = world.present().into_iter().filter(|ip| *ip != behind).collect();
-        world.wipe(others[0], 1000);
-        world.kill(others[1], 3000);
-        world.run(9000);
-        assert!(world.serves_within(6000), "seed {seed}: the two that remember are a majority");
-        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
+        simulation.cut(behind, 6000);
+        simulation.run(2500);
+        assert!(simulation.serves_within(3000), "seed {seed}: two of three go on");
+        let others: Vec<_> = simulation.present().into_iter().filter(|ip| *ip != behind).collect();
+        simulation.wipe(others[0], 1000);
+        simulation.kill(others[1], 3000);
+        simulation.run(9000);
+        assert!(simulation.serves_within(6000), "seed {seed}: the two that remember are a majority");
+        assert!(simulation.violations.is_empty(), "seed {seed}: {:?}", simulation.violations);
     }
 }
 
 #[test]
 fn a_second_loss_after_catch_up_of_the_first_is_tolerated() {
     for seed in 0..40 {
-        let mut world = World::new(3, 1, seed, Flaw::None);
-        world.run(1500);
+        let mut simulation = ControlSimulation::new(3, 1, seed, Flaw::None);
+        simulation.run(1500);
         for _ in 0..6 {
-            assert!(world.serves_within(4000), "seed {seed}");
-            let target = world.random_machine();
-            world.wipe(target, 800);
-            world.run(800 + CATCH_UP + 25);
+            assert!(simulation.serves_within(4000), "seed {seed}");
+            let target = simulation.random_machine();
+            simulation.wipe(target, 800);
+            simulation.run(800 + CATCH_UP + 25);
         }
-        assert!(world.serves_within(4000), "seed {seed}");
-        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
+        assert!(simulation.serves_within(4000), "seed {seed}");
+        assert!(simulation.violations.is_empty(), "seed {seed}: {:?}", simulation.violations);
     }
 }
 
@@ -227,20 +231,24 @@
     let tolerance = Tolerance { machines: 1, zones: 1, regions: 0 };
     for (count, zones) in [(4, 3), (5, 3), (6, 3), (7, 4)] {
         for seed in 0..12 {
-            let mut world = World::zoned(count, zones, tolerance, seed, Flaw::None);
-            world.run(2500);
+            let mut simulation = ControlSimulation::zoned(count, zones, tolerance, seed, Flaw::None);
+            simulation.run(2500);
             for round in 0..4 {
-                assert!(world.serves_within(4000), "{count} in {zones}, seed {seed}, round {round}");
-                let target = world.random_machine();
-                let wipes = world.random_below(2) == 0;
-                let down = 500 + u64::from(world.random_below(4000));
-                for ip in world.machines_in_zone(target) {
-                    if wipes { world.wipe(ip, down) } else { world.kill(ip, down) }
+                assert!(simulation.serves_within(4000), "{count} in {zones}, seed {seed}, round {round}");
+                let target = simulation.random_machine();
+                let wipes = simulation.random_below(2) == 0;
+                let down = 500 + u64::from(simulation.random_below(4000));
+                for ip in simulation.machines_in_zone(target) {
+                    if wipes { simulation.wipe(ip, down) } else { simulation.kill(ip, down) }
                 }
-                assert!(world.serves_within(4000), "{count} in {zones}, seed {seed}: a zone is away");
-                world.run(down + CATCH_UP);
+                assert!(simulation.serves_within(4000), "{count} in {zones}, seed {seed}: a zone is away");
+                simulation.run(down + CATCH_UP);
             }
-            assert!(world.violations.is_empty(), "{count} in {zones}, seed {seed}: {:?}", world.violations);
+            assert!(
+                simulation.violations.is_empty(),
+                "{count} in {zones}, seed {seed}: {:?}",
+                simulation.violations
+            );
         }
     }
 }
@@ -281,7 +289,7 @@
 fn an_overrepresented_zone_loses_one_elector_and_does_not_regain_it() {
     let id = |number: u8| ElectorId { ip: support::address(number).octets(), disk: 1 };
     let zones = [(1, "a"), (2, "a"), (3, "b"), (4, "c")];
-    let places: Places =
+    let locations: Locations =
         zones.iter().map(|(number, zone)| (id(*number).ip, support::place("r", zone))).collect();
     let tolerance = Tolerance { machines: 1, zones: 1, regions: 0 };
     let ids = [id(1), id(2), id(3), id(4)];
@@ -292,17 +300,17 @@
         state: Default::default(),
     };
     let crowded = view(&ids[..3]);
-    let (electors, chain) = next_membership(&crowded, &ids, tolerance, &places).expect("a change");
+    let (electors, chain) = next_membership(&crowded, &ids, tolerance, &locations).expect("a change");
     assert_eq!(
         (electors.as_slice(), chain.as_slice()),
         (&[id(1), id(3), id(4)][..], &[id(1), id(3), id(4)][..])
     );
     assert_eq!(
-        next_membership(&view(&electors), &ids, tolerance, &places),
+        next_membership(&view(&electors), &ids, tolerance, &locations),
         None,
         "the fourth stays a standby"
     );
-    let all = next_membership(&crowded, &ids, support::ONE, &places).expect("a change");
+    let all = next_membership(&crowded, &ids, support::ONE, &locations).expect("a change");
     assert_eq!(all.0, ids, "where no zone may be lost, all vote");
 }
 
@@ -316,60 +324,61 @@
 fn a_new_machine_replaces_the_dead_elector_of_its_own_zone() {
     let id = |number: u8| ElectorId { ip: support::address(number).octets(), disk: 1 };
     let zones = [(1, "a"), (2, "b"), (3, "c"), (4, "d"), (5, "e"), (6, "e")];
-    let places: Places =
+    let locations: Locations =
         zones.iter().map(|(number, zone)| (id(*number).ip, support::place("r", zone))).collect();
     let electors: Vec<ElectorId> = (1..=5).map(id).collect();
     let view = View { number: 1, electors: electors.clone(), chain: electors, state: Default::default() };
     let alive = [id(1), id(3), id(4), id(6)];
-    let (electors, _) = next_membership(&view, &alive, Tolerance::of_machines(2), &places).expect("a change");
+    let (electors, _) =
+        next_membership(&view, &alive, Tolerance::of_machines(2), &locations).expect("a change");
     assert_eq!(electors, [id(1), id(2), id(3), id(4), id(6)], "2 is dead, but 5 stood in zone e");
 }
 
 /// What relays need after a loss of power of all: a majority that is sure of the newest change.
-fn has_stable_majority(world: &World, count: usize, newest: u64) -> bool {
+fn has_stable_majority(simulation: &ControlSimulation, count: usize, newest: u64) -> bool {
     let is_current = |controller: &&Controller| {
         controller.is_stable() && controller.committed_state().is_some_and(|state| state.revision() == newest)
     };
-    let present = world.present();
-    let current = present.iter().filter_map(|ip| world.controller_at(*ip)).filter(is_current).count();
+    let present = simulation.present();
+    let current = present.iter().filter_map(|ip| simulation.controller_at(*ip)).filter(is_current).count();
     current > count / 2
 }
 
 /// A loss of power of all, `late` of which return later; how long a majority that is back took until it was sure, in ms.
 fn recovery_time_after_power_loss(count: u8, tolerated: usize, late: u64, seed: u64) -> u64 {
-    let mut world = World::new(count, tolerated, seed, Flaw::None);
-    world.run(1500);
+    let mut simulation = ControlSimulation::new(count, tolerated, seed, Flaw::None);
+    simulation.run(1500);
     for _ in 0..4 {
-        assert!(world.serves_within(20_000), "{count}, seed {seed}");
+        assert!(simulation.serves_within(20_000), "{count}, seed {seed}");
     }
     // Late messages are over, and all know the newest.
-    world.run(2000);
-    let newest = world.newest_committed();
-    let view = |world: &World| {
-        world.present().iter().filter_map(|ip| Some(world.controller_at(*ip)?.view()?.number)).max()
+    simulation.run(2000);
+    let newest = simulation.newest_committed();
+    let view = |simulation: &ControlSimulation| {
+        simulation.present().iter().filter_map(|ip| Some(simulation.controller_at(*ip)?.view()?.number)).max()
     };
-    let before = view(&world);
-    let machines = world.present();
+    let before = view(&simulation);
+    let machines = simulation.present();
     let back = machines.len() as u64 - late;
     for (index, ip) in (0u64..).zip(machines) {
         // The last are back when membership would nearly hold them dead.
-        world.kill(ip, if index < back { 500 } else { 1300 });
+        simulation.kill(ip, if index < back { 500 } else { 1300 });
     }
-    world.run(500);
-    let sent = world.messages_sent();
+    simulation.run(500);
+    let sent = simulation.messages_sent();
     let mut waited = 0;
-    while !has_stable_majority(&world, usize::from(count), newest) {
-        world.run(25);
+    while !has_stable_majority(&simulation, usize::from(count), newest) {
+        simulation.run(25);
         waited += 25;
         assert!(waited <= 1500, "{count}, seed {seed}: no majority is sure");
     }
     let rounds = 2 + waited as usize / 200;
     let most = rounds * 2 * usize::from(count) * usize::from(count);
-    let sent = world.messages_sent() - sent;
+    let sent = simulation.messages_sent() - sent;
     assert!(sent <= most, "{count}, seed {seed}: {sent} messages in {waited} ms, {most} at most");
-    world.run(1200);
-    assert_eq!(view(&world), before, "{count}, seed {seed}: nothing was lost, so the view stays");
-    assert!(world.violations.is_empty(), "{count}, seed {seed}: {:?}", world.violations);
+    simulation.run(1200);
+    assert_eq!(view(&simulation), before, "{count}, seed {seed}: nothing was lost, so the view stays");
+    assert!(simulation.violations.is_empty(), "{count}, seed {seed}: {:?}", simulation.violations);
     waited
 }
 
--- a/crates/onyxstile-system/tests/control_model.rs
+++ b/crates/onyxstile-system/tests/control_model.rs
@@ -224,7 +224,7 @@
 /// search, and no rule rests on it.
 fn boot(machine: usize, disk: &Durable, incarnation: Incarnation) -> Controller {
     Controller::new(ip(machine), disk.clone(), ONE, incarnation, Instant::default())
-        .with_place(place(machine))
+        .with_location(place(machine))
 }
 
 impl Model for State {
--- a/crates/onyxstile-system/tests/support/control_world.rs
+++ b/crates/onyxstile-system/tests/support/control_simulation.rs
@@ -84,7 +84,7 @@
 }
 
 /// All machines, the network and the operators.
-pub struct World {
+pub struct ControlSimulation {
     pub now: u64,
     pub rng: Pcg64Mcg,
     machines: BTreeMap<Ipv4Addr, Machine>,
@@ -112,16 +112,16 @@
     outcomes: Vec<(u64, Outcome)>,
 }
 
-impl World {
+impl ControlSimulation {
     /// `count` machines, each in a zone of its own, of which the first three (or fewer) are the seeds.
-    pub fn new(count: u8, tolerated: usize, seed: u64, flaw: Flaw) -> World {
-        World::zoned(count, u8::MAX, Tolerance::of_machines(tolerated), seed, flaw)
+    pub fn new(count: u8, tolerated: usize, seed: u64, flaw: Flaw) -> ControlSimulation {
+        ControlSimulation::zoned(count, u8::MAX, Tolerance::of_machines(tolerated), seed, flaw)
     }
 
     /// `count` machines that stand in `zones` zones by turns; the first three (or fewer) are the seeds.
-    pub fn zoned(count: u8, zones: u8, tolerance: Tolerance, seed: u64, flaw: Flaw) -> World {
+    pub fn zoned(count: u8, zones: u8, tolerance: Tolerance, seed: u64, flaw: Flaw) -> ControlSimulation {
         let seeds: Vec<Ipv4Addr> = (1..=count.min(3)).map(address).collect();
-        let mut world = World {
+        let mut simulation = ControlSimulation {
             now: 0,
             rng: Pcg64Mcg::new(u128::from(seed) << 1 | 1),
             machines: BTreeMap::new(),
@@ -147,15 +147,15 @@
         };
         for number in 1..=count {
             let ip = address(number);
-            let disk = if world.seeds.contains(&ip) {
-                Controller::bootstrap(ip, &world.seeds)
+            let disk = if simulation.seeds.contains(&ip) {
+                Controller::bootstrap(ip, &simulation.seeds)
             } else {
-                world.next_disk += 1;
-                Controller::empty(world.next_disk)
+                simulation.next_disk += 1;
+                Controller::empty(simulation.next_disk)
             };
-            world.add(ip, disk, 0);
+            simulation.add(ip, disk, 0);
         }
-        world
+        simulation
     }
 
     fn add(&mut self, ip: Ipv4Addr, disk: Durable, lost_until: u64) {
@@ -184,17 +184,17 @@
     }
 
     fn controller(&mut self, ip: Ipv4Addr, disk: Durable, now: Instant) -> Controller {
-        Controller::new(ip, disk, self.tolerance, self.incarnation(), now).with_place(self.place(ip))
+        Controller::new(ip, disk, self.tolerance, self.incarnation(), now).with_location(self.location(ip))
     }
 
     /// Where a machine stands.
-    pub fn place(&self, ip: Ipv4Addr) -> Place {
+    pub fn location(&self, ip: Ipv4Addr) -> Place {
         place("r", &format!("z{}", ip.octets()[3] % self.zones))
     }
 
     /// The machines of the zone that `ip` stands in.
     pub fn machines_in_zone(&self, ip: Ipv4Addr) -> Vec<Ipv4Addr> {
-        self.present().into_iter().filter(|other| self.place(*other) == self.place(ip)).collect()
+        self.present().into_iter().filter(|other| self.location(*other) == self.location(ip)).collect()
     }
 
     pub fn random_below(&mut self, sides: u32) -> u32 {
@@ -309,7 +309,7 @@
         self.machines
             .iter()
             .filter(is_live)
-            .map(|(ip, machine)| (ElectorId { ip: ip.octets(), disk: machine.disk.disk }, self.place(*ip)))
+            .map(|(ip, machine)| (ElectorId { ip: ip.octets(), disk: machine.disk.disk }, self.location(*ip)))
             .collect()
     }
 
--- a/crates/onyxstile-system/tests/support/control_world/accessors.rs
+++ b/crates/onyxstile-system/tests/support/control_simulation/accessors.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// What a world round the controllers needs of them.
-impl World {
+impl ControlSimulation {
     /// Whether a machine's process runs and is awake.
     pub fn is_up(&self, ip: Ipv4Addr) -> bool {
         let is_awake = |machine: &Machine| machine.controller.is_some() && machine.frozen_until <= self.now;
--- a/crates/onyxstile-system/tests/support/control_world/faults.rs
+++ b/crates/onyxstile-system/tests/support/control_simulation/faults.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl ControlSimulation {
     pub fn kill(&mut self, ip: Ipv4Addr, for_ms: u64) {
         let until = self.now + for_ms;
         let Some(machine) = self.machines.get_mut(&ip) else { return };
--- a/crates/onyxstile-system/tests/support/control_world/operators.rs
+++ b/crates/onyxstile-system/tests/support/control_simulation/operators.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl ControlSimulation {
     /// The operator sends a change built on `base` to a machine.
     pub fn put(&mut self, to: Ipv4Addr, base: u64, revision: u64) -> usize {
         let unique = self.changes.len();
