--- a/crates/onyxstile-system/src/role/proxy.rs
+++ b/crates/onyxstile-system/src/role/proxy.rs
@@ -4,23 +4,23 @@
 //! never sent again; a turn's answer ends only once the turn is kept; what is given up is answered at once.
 
 mod admit;
-mod answer;
 mod attempt;
 mod call;
+mod call_sender;
 mod chain;
+mod client_response;
 mod conversation;
-mod counted;
 mod counts;
+mod destination_call;
 mod feed;
-mod figures;
 mod forward;
-mod lifetime;
-mod no_turn;
+mod lifecycle;
+mod metric_values;
 mod phase;
 mod quorum;
 mod relay_stream;
-mod sending;
 mod target;
+mod turn_error;
 mod upstream;
 
 use std::cell::{Cell, RefCell};
@@ -45,19 +45,19 @@
 use crate::slots::Slots;
 use crate::storage_plan::StoragePlan;
 use crate::tolerance::Tolerance;
-use chain::Doubts;
+use chain::SlowMembers;
 use counts::Counts;
 use phase::Phase;
-use upstream::Pools;
+use upstream::ConnectionPools;
 
 /// Descriptors that are not for sockets, as the platform counts them.
 const DESCRIPTORS_RESERVED: u64 = 200;
 /// Descriptors that one call may take: the client's connection, the endpoint's, and idle ones beside it.
-const DESCRIPTORS_A_CALL: u64 = 4;
+const DESCRIPTORS_PER_CALL: u64 = 4;
 /// Memory that one call may take, in KB.
-const MEMORY_A_CALL_KB: u64 = 128;
+const MEMORY_PER_CALL_KB: u64 = 128;
 /// Turns remembered take at most one part in this many of the memory.
-const MEMORY_PARTS_FOR_TURNS: usize = 6;
+const TURN_CACHE_MEMORY_DIVISOR: usize = 6;
 
 /// Where a call's retries are counted: a model endpoint, or the service of a tool route.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -69,11 +69,11 @@
 }
 
 /// One proxy process.
-pub struct Node {
+pub struct Proxy {
     settings: Rc<RefCell<Settings>>,
     clock: SteadyClock,
     client: Client,
-    life: u64,
+    incarnation: u64,
     configuration: RefCell<Option<Rc<Configuration>>>,
     sequence: Cell<u64>,
     plan: RefCell<Rc<StoragePlan>>,
@@ -82,13 +82,13 @@
     destinations: RefCell<HashMap<DestinationKey, Destination>>,
     slots: RefCell<Slots<DestinationKey>>,
     slot_freed: Notify,
-    pools: Pools,
+    pools: ConnectionPools,
     turns: RefCell<TurnCache>,
-    doubts: RefCell<Doubts>,
+    slow_members: RefCell<SlowMembers>,
     phase: Phase,
     counts: Counts,
-    random: RefCell<Pcg64Mcg>,
-    law: Law,
+    rng: RefCell<Pcg64Mcg>,
+    retry_policy: Law,
 }
 
 /// Runs the role until SIGTERM, and then until what was taken up has been answered.
@@ -97,36 +97,36 @@
     let Signals { termination, hangups } = signals;
     let front = settings.listen.front.ok_or(RoleError::Settings("listen.front"))?;
     let readiness = settings.listen.readiness.ok_or(RoleError::Settings("listen.readiness"))?;
-    let fed_at = settings.feed_address();
+    let feed_address = settings.feed_address();
     let clients = socket::listen(front).map_err(|error| ("front", error))?;
     let readiness = socket::listen(readiness).map_err(|error| ("readiness", error))?;
-    let feed = socket::listen(fed_at).map_err(|error| ("feed port", error))?;
+    let feed = socket::listen(feed_address).map_err(|error| ("feed port", error))?;
     log::info!("proxy {} listens at {front}", settings.node_name);
-    let node = Rc::new(Node::new(settings, clock));
-    let (fed, asked, told) = (node.clone(), node.clone(), node.clone());
+    let proxy = Rc::new(Proxy::new(settings, clock));
+    let (feed_proxy, readiness_proxy, metrics_proxy) = (proxy.clone(), proxy.clone(), proxy.clone());
     tokio::select! {
-        () = metrics::serve(node.settings.borrow().clone(), clock, move || told.figures()) => {}
-        () = rpc::serve(feed, Rc::new(move |request| fed.clone().answer_agent(request))) => {}
-        () = http::serve(readiness, clock, Rc::default(), move |request| lifetime::readiness(asked.clone(), request)) => {}
-        () = lifetime::accept(node.clone(), clients) => {}
-        () = signals::reread(hangups, node.settings.clone(), |_| {}) => {}
-        () = lifetime::drain(node.clone(), termination) => log::info!("the proxy has drained"),
+        () = metrics::serve(proxy.settings.borrow().clone(), clock, move || metrics_proxy.metric_values()) => {}
+        () = rpc::serve(feed, Rc::new(move |request| feed_proxy.clone().handle_agent_request(request))) => {}
+        () = http::serve(readiness, clock, Rc::default(), move |request| lifecycle::readiness(readiness_proxy.clone(), request)) => {}
+        () = lifecycle::accept(proxy.clone(), clients) => {}
+        () = signals::reread(hangups, proxy.settings.clone(), |_| {}) => {}
+        () = lifecycle::drain(proxy.clone(), termination) => log::info!("the proxy has drained"),
     }
     Ok(())
 }
 
-impl Node {
-    fn new(settings: Settings, clock: SteadyClock) -> Node {
+impl Proxy {
+    fn new(settings: Settings, clock: SteadyClock) -> Proxy {
         let limits = &settings.limits;
-        let by_descriptors = limits.max_fds.saturating_sub(DESCRIPTORS_RESERVED) / DESCRIPTORS_A_CALL;
-        let by_memory = limits.memory_mb * 1024 / MEMORY_A_CALL_KB / 2;
+        let by_descriptors = limits.max_fds.saturating_sub(DESCRIPTORS_RESERVED) / DESCRIPTORS_PER_CALL;
+        let by_memory = limits.memory_mb * 1024 / MEMORY_PER_CALL_KB / 2;
         let slots = by_descriptors.min(by_memory).clamp(16, 4096) as u32;
-        let turn_bytes = limits.memory_mb as usize * 1024 * 1024 / MEMORY_PARTS_FOR_TURNS;
-        let life = random_id();
-        Node {
+        let turn_bytes = limits.memory_mb as usize * 1024 * 1024 / TURN_CACHE_MEMORY_DIVISOR;
+        let incarnation = random_id();
+        Proxy {
             clock,
             client: Client::default(),
-            life,
+            incarnation,
             configuration: RefCell::default(),
             sequence: Cell::new(0),
             plan: RefCell::default(),
@@ -135,13 +135,13 @@
             destinations: RefCell::default(),
             slots: RefCell::new(Slots::new(slots)),
             slot_freed: Notify::new(),
-            pools: Pools::default(),
+            pools: ConnectionPools::default(),
             turns: RefCell::new(TurnCache::new(turn_bytes)),
-            doubts: RefCell::default(),
+            slow_members: RefCell::default(),
             phase: Phase::default(),
             counts: Counts::default(),
-            random: RefCell::new(Pcg64Mcg::new(u128::from(life) << 1 | 1)),
-            law: Law::default(),
+            rng: RefCell::new(Pcg64Mcg::new(u128::from(incarnation) << 1 | 1)),
+            retry_policy: Law::default(),
             settings: Rc::new(RefCell::new(settings)),
         }
     }
@@ -155,7 +155,7 @@
     }
 
     /// A number from 0 to 1.
-    fn roll(&self) -> f64 {
-        f64::from(self.random.borrow_mut().next_u32()) / (f64::from(u32::MAX) + 1.0)
+    fn random_fraction(&self) -> f64 {
+        f64::from(self.rng.borrow_mut().next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 }
--- a/crates/onyxstile-system/src/role/proxy/admit.rs
+++ b/crates/onyxstile-system/src/role/proxy/admit.rs
@@ -3,14 +3,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::Node;
+use super::Proxy;
 use super::call::Call;
 use crate::admission::Applicant;
 use crate::balance::{EndpointKey, Expected};
 
-impl Node {
+impl Proxy {
     /// When the client of a stream that goes on from nothing may come back, if no program may begin now with it.
-    pub(super) fn refuse(&self, call: &Call) -> Option<Duration> {
+    pub(super) fn admission_delay(&self, call: &Call) -> Option<Duration> {
         if !call.may_be_first() {
             return None;
         }
@@ -21,32 +21,32 @@
 }
 
 /// A first event that is waited for; dropped, it is no more.
-pub(super) struct Awaited {
-    node: Rc<Node>,
+pub(super) struct PendingFirstEvent {
+    proxy: Rc<Proxy>,
     expected: Option<Expected>,
 }
 
-impl Awaited {
+impl PendingFirstEvent {
     /// A call that is sent now, before its prompt is noted in the endpoint's cache.
-    pub(super) fn new(node: Rc<Node>, call: &Call, key: EndpointKey) -> Awaited {
+    pub(super) fn new(proxy: Rc<Proxy>, call: &Call, key: EndpointKey) -> PendingFirstEvent {
         let expected = call
             .is_stream()
-            .then(|| node.endpoints.borrow_mut().stream_sent(node.clock.now(), key, &call.parts));
-        Awaited { node, expected: expected.flatten() }
+            .then(|| proxy.endpoints.borrow_mut().stream_sent(proxy.clock.now(), key, &call.parts));
+        PendingFirstEvent { proxy, expected: expected.flatten() }
     }
 
     /// It has come.
-    pub(super) fn came(&self) {
+    pub(super) fn mark_received(&self) {
         if let Some(expected) = &self.expected {
-            self.node.endpoints.borrow_mut().stream_began(self.node.clock.now(), expected);
+            self.proxy.endpoints.borrow_mut().stream_began(self.proxy.clock.now(), expected);
         }
     }
 }
 
-impl Drop for Awaited {
+impl Drop for PendingFirstEvent {
     fn drop(&mut self) {
         if let Some(expected) = &self.expected {
-            self.node.endpoints.borrow_mut().stream_not_awaited(expected);
+            self.proxy.endpoints.borrow_mut().stream_not_awaited(expected);
         }
     }
 }
--- a/crates/onyxstile-system/src/role/proxy/attempt.rs
+++ b/crates/onyxstile-system/src/role/proxy/attempt.rs
@@ -10,10 +10,10 @@
 use hyper::http::response;
 use hyper::{Request, StatusCode, Uri};
 
-use super::Node;
-use super::admit::Awaited;
+use super::Proxy;
+use super::admit::PendingFirstEvent;
 use super::call::Call;
-use super::counts::Miss;
+use super::counts::SendFailure;
 use super::upstream::{Checkout, SendError};
 use crate::balance::EndpointKey;
 use crate::load::Load;
@@ -21,7 +21,7 @@
 /// What one send showed.
 pub(super) enum Attempt {
     /// A whole answer; the endpoint ran the request.
-    Whole(response::Parts, Bytes),
+    Complete(response::Parts, Bytes),
     /// A stream that has begun; the bytes came first.
     Streaming(Stream),
     /// The endpoint did not run it.
@@ -34,13 +34,13 @@
 
 impl Attempt {
     /// Why there is nothing to pass on, if there isn't.
-    fn miss(&self) -> Option<Miss> {
+    fn failure(&self) -> Option<SendFailure> {
         match self {
-            Attempt::Whole(head, _) if head.status.is_server_error() => Some(Miss::ServerError),
-            Attempt::Whole(..) | Attempt::Streaming(_) => None,
-            Attempt::NotExecuted => Some(Miss::NotExecuted),
-            Attempt::NotSent => Some(Miss::NotSent),
-            Attempt::Unknown(_) => Some(Miss::Unknown),
+            Attempt::Complete(head, _) if head.status.is_server_error() => Some(SendFailure::ServerError),
+            Attempt::Complete(..) | Attempt::Streaming(_) => None,
+            Attempt::NotExecuted => Some(SendFailure::NotExecuted),
+            Attempt::NotSent => Some(SendFailure::NotSent),
+            Attempt::Unknown(_) => Some(SendFailure::Unknown),
         }
     }
 }
@@ -53,20 +53,20 @@
     pub checkout: Option<Checkout>,
 }
 
-impl Node {
+impl Proxy {
     /// Sends a call to an endpoint. What is silent for `patience` counts as unknown.
     pub(super) async fn attempt(
-        self: &Rc<Node>, call: &Call, body: &Bytes, key: EndpointKey, last_event: Option<&str>,
-        patience: Duration,
+        self: &Rc<Proxy>, call: &Call, body: &Bytes, key: EndpointKey, last_event: Option<&str>,
+        timeout: Duration,
     ) -> Attempt {
         let began = self.clock.now();
         let Some((address, instance)) = self.address(key) else { return Attempt::NotSent };
         let request = self.request(call, body, &instance, last_event);
-        let awaited = Awaited::new(self.clone(), call, key);
+        let first_event = PendingFirstEvent::new(self.clone(), call, key);
         if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(key) {
-            endpoint.cache.note(&call.parts, call.engine_tokens());
+            endpoint.cache.note(&call.parts, call.engine_capacity_tokens());
         }
-        let _sent = Sent::new(self.clone(), key, began);
+        let _in_flight = InFlight::new(self.clone(), key, began);
         let attempt = async {
             match self.pools.send(key, address, request, call.route.is_repeatable()).await {
                 Ok((response, checkout)) => self.read(call, key, response, checkout).await,
@@ -80,23 +80,23 @@
                 }
             }
         };
-        let attempt = tokio::time::timeout(patience, attempt).await.unwrap_or(Attempt::Unknown("silence"));
-        self.learn(key, &attempt, began);
+        let attempt = tokio::time::timeout(timeout, attempt).await.unwrap_or(Attempt::Unknown("silence"));
+        self.record_outcome(key, &attempt, began);
         if matches!(attempt, Attempt::Streaming(_)) {
-            awaited.came();
+            first_event.mark_received();
         }
         attempt
     }
 
     /// Takes back a connection whose answer was read to its end.
-    pub(super) fn give_back(&self, checkout: Checkout) {
+    pub(super) fn return_connection(&self, checkout: Checkout) {
         let key = checkout.key;
         let endpoints = self.endpoints.borrow();
         let in_use = endpoints.get(key).map_or(0, |endpoint| endpoint.in_flight());
         // The call that gives it back is still counted.
         let others = in_use.saturating_sub(1);
         let share = endpoints.connection_share(key);
-        self.pools.give_back(checkout, share.saturating_sub(others) as usize);
+        self.pools.return_connection(checkout, share.saturating_sub(others) as usize);
     }
 
     fn address(&self, key: EndpointKey) -> Option<(std::net::SocketAddrV4, String)> {
@@ -123,22 +123,22 @@
             self.endpoints.borrow_mut().connected(key, took);
         }
         let (head, body) = response.into_parts();
-        if let Some(load) = text(&head.headers, "server-load").and_then(Load::parse)
+        if let Some(load) = header_text(&head.headers, "server-load").and_then(Load::parse)
             && let Some(endpoint) = self.endpoints.borrow_mut().get_mut(key)
         {
             endpoint.tell(self.clock.now(), load);
         }
         // An answer to another request of an earlier call: nothing on this connection can be trusted.
-        if text(&head.headers, "request-id").is_some_and(|id| id != call.id) {
+        if header_text(&head.headers, "request-id").is_some_and(|id| id != call.id) {
             return Attempt::Unknown("an answer to another request");
         }
         let is_refusal =
             head.headers.contains_key("not-executed") || head.status == StatusCode::MISDIRECTED_REQUEST;
         if is_refusal {
-            let is_other = head.status == StatusCode::MISDIRECTED_REQUEST && !call.asks_for_version();
-            return self.refused(key, is_other, body, checkout).await;
+            let is_superseded = head.status == StatusCode::MISDIRECTED_REQUEST && !call.expects_version();
+            return self.handle_refusal(key, is_superseded, body, checkout).await;
         }
-        if text(&head.headers, "request-id").is_none() {
+        if header_text(&head.headers, "request-id").is_none() {
             return Attempt::Unknown("an answer without an id");
         }
         if head.status.is_success() && !head.headers.contains_key("response-seal") {
@@ -150,37 +150,39 @@
         // An answer without a length ends with its connection; a reset is an error here.
         match body.collect().await {
             Ok(collected) => {
-                self.give_back(checkout);
-                Attempt::Whole(head, collected.to_bytes())
+                self.return_connection(checkout);
+                Attempt::Complete(head, collected.to_bytes())
             }
             Err(_) => Attempt::Unknown("the answer broke off"),
         }
     }
 
     /// `is_other` says that another incarnation, perhaps of another service, has the address.
-    async fn refused(&self, key: EndpointKey, is_other: bool, body: Incoming, checkout: Checkout) -> Attempt {
-        if is_other {
+    async fn handle_refusal(
+        &self, key: EndpointKey, is_superseded: bool, body: Incoming, checkout: Checkout,
+    ) -> Attempt {
+        if is_superseded {
             if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(key) {
                 endpoint.superseded();
             }
             self.pools.drop_idle(key);
         } else if body.collect().await.is_ok() {
-            self.give_back(checkout);
+            self.return_connection(checkout);
         }
         Attempt::NotExecuted
     }
 
     /// Notes what a send has shown of its endpoint.
-    fn learn(&self, key: EndpointKey, attempt: &Attempt, began: crate::clock::Instant) {
-        if let Some(miss) = attempt.miss() {
-            self.counts.miss(miss);
+    fn record_outcome(&self, key: EndpointKey, attempt: &Attempt, began: crate::clock::Instant) {
+        if let Some(failure) = attempt.failure() {
+            self.counts.count_failure(failure);
         }
         let now = self.clock.now();
         let mut endpoints = self.endpoints.borrow_mut();
         let Some(endpoint) = endpoints.get_mut(key) else { return };
         match attempt {
-            Attempt::Whole(head, _) if head.status.is_server_error() => endpoint.erred(now),
-            Attempt::Whole(..) | Attempt::Streaming(_) => endpoint.succeeded(now, Some(now.since(began))),
+            Attempt::Complete(head, _) if head.status.is_server_error() => endpoint.erred(now),
+            Attempt::Complete(..) | Attempt::Streaming(_) => endpoint.succeeded(now, Some(now.since(began))),
             Attempt::NotExecuted => {}
             Attempt::NotSent => {
                 endpoint.unreachable(now);
@@ -192,24 +194,24 @@
 }
 
 /// A call that is out at an endpoint and not answered; dropped, it is no more.
-struct Sent {
-    node: Rc<Node>,
+struct InFlight {
+    proxy: Rc<Proxy>,
     key: EndpointKey,
     at: crate::clock::Instant,
 }
 
-impl Sent {
-    fn new(node: Rc<Node>, key: EndpointKey, at: crate::clock::Instant) -> Sent {
-        if let Some(endpoint) = node.endpoints.borrow_mut().get_mut(key) {
+impl InFlight {
+    fn new(proxy: Rc<Proxy>, key: EndpointKey, at: crate::clock::Instant) -> InFlight {
+        if let Some(endpoint) = proxy.endpoints.borrow_mut().get_mut(key) {
             endpoint.health.sent(at);
         }
-        Sent { node, key, at }
+        InFlight { proxy, key, at }
     }
 }
 
-impl Drop for Sent {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        if let Some(endpoint) = self.node.endpoints.borrow_mut().get_mut(self.key) {
+        if let Some(endpoint) = self.proxy.endpoints.borrow_mut().get_mut(self.key) {
             endpoint.health.ended(self.at);
         }
     }
@@ -234,6 +236,6 @@
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
--- a/crates/onyxstile-system/src/role/proxy/call.rs
+++ b/crates/onyxstile-system/src/role/proxy/call.rs
@@ -16,7 +16,7 @@
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
 
 /// Headers that concern one connection only, and those that the system sets anew.
-const NOT_PASSED: [&str; 11] = [
+const NOT_FORWARDED: [&str; 11] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -31,19 +31,19 @@
 ];
 
 /// Whether a header is passed along.
-pub(super) fn is_passed(name: &HeaderName) -> bool {
-    !NOT_PASSED.contains(&name.as_str())
+pub(super) fn is_forwarded(name: &HeaderName) -> bool {
+    !NOT_FORWARDED.contains(&name.as_str())
 }
 
 /// What identifies a turn of a program.
 #[derive(Debug, Clone)]
-pub(super) struct TurnHead {
+pub(super) struct TurnRequest {
     /// The program.
     pub program: String,
     /// The tokens that its turns together may generate.
     pub budget: u64,
     /// The most that this turn may generate.
-    pub most: u64,
+    pub max_tokens: u64,
 }
 
 /// One try.
@@ -58,11 +58,11 @@
     pub id: String,
     pub began: Instant,
     /// When the client's deadline or the route's time-out ends it.
-    pub ends: Instant,
+    pub expires_at: Instant,
     /// When the client's deadline ends it.
     pub deadline: Instant,
     pub parts: Vec<Part>,
-    pub turn: Option<TurnHead>,
+    pub turn: Option<TurnRequest>,
     /// The time until its program should be over, in ms.
     pub finish_ms: Option<f64>,
     pub previous: Option<String>,
@@ -73,27 +73,28 @@
     /// Reads a request's head; `roll` in 0..1 chooses among the services of a split route.
     pub(super) fn new(
         configuration: Rc<Configuration>, route: Rc<Route>, head: hyper::http::request::Parts, now: Instant,
-        roll: f64,
+        fraction: f64,
     ) -> Call {
         let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-        let whole = |name: &str| text(name).and_then(|value| value.trim().parse::<u64>().ok());
-        let deadline_ms = whole("deadline-ms").unwrap_or(DEFAULT_DEADLINE_MS);
-        let held_ms = deadline_ms.min(route.timeout_ms);
-        let split_by = text("session").map_or(roll, place_of);
+        let number = |name: &str| text(name).and_then(|value| value.trim().parse::<u64>().ok());
+        let deadline_ms = number("deadline-ms").unwrap_or(DEFAULT_DEADLINE_MS);
+        let timeout_ms = deadline_ms.min(route.timeout_ms);
+        let split_by = text("session").map_or(fraction, place_of);
         let is_stream = route.route_type == RouteType::Streaming;
-        let turn = match (text("program"), whole("budget")) {
+        let turn = match (text("program"), number("budget")) {
             (Some(program), Some(budget)) if is_stream => {
-                let most = text("token-count").and_then(|count| count.split(',').nth(1)?.trim().parse().ok());
-                Some(TurnHead { program: program.to_owned(), budget, most: most.unwrap_or(0) })
+                let max_tokens =
+                    text("token-count").and_then(|count| count.split(',').nth(1)?.trim().parse().ok());
+                Some(TurnRequest { program: program.to_owned(), budget, max_tokens: max_tokens.unwrap_or(0) })
             }
             _ => None,
         };
         let parts = if is_stream { text("prompt-prefix").map(prefix::parse) } else { None };
         Call {
-            service: pick(&route, split_by),
+            service: pick_service(&route, split_by),
             id: text("request-id").unwrap_or_default().to_owned(),
             began: now,
-            ends: now + Duration::from_millis(held_ms),
+            expires_at: now + Duration::from_millis(timeout_ms),
             deadline: now + Duration::from_millis(deadline_ms),
             parts: parts.unwrap_or_default(),
             turn,
@@ -120,39 +121,39 @@
     }
 
     /// Whether a program begins with it for sure; where turns are not retained, only the claims on its budget tell.
-    pub(super) fn is_surely_first(&self) -> bool {
+    pub(super) fn is_certainly_first(&self) -> bool {
         self.may_be_first() && (self.route.retained || self.turn.is_none())
     }
 
     /// Whether its client asks for a version of weights: a 421 may then mean that the endpoint has another.
-    pub(super) fn asks_for_version(&self) -> bool {
+    pub(super) fn expects_version(&self) -> bool {
         self.headers.contains_key("expect-version")
     }
 
     /// Tokens in one event of a stream.
-    pub(super) fn tokens_an_event(&self) -> u64 {
+    pub(super) fn tokens_per_event(&self) -> u64 {
         let service = self.configuration.services.get(&*self.service);
         service.and_then(|service| service.engine.as_ref()).map_or(1, |engine| engine.chunk_size)
     }
 
     /// Tokens that an endpoint's memory holds.
-    pub(super) fn engine_tokens(&self) -> u64 {
+    pub(super) fn engine_capacity_tokens(&self) -> u64 {
         let service = self.configuration.services.get(&*self.service);
         service.and_then(|service| service.engine.as_ref()).map_or(0, |engine| engine.kv_capacity_tokens)
     }
 
     /// Time left at `now`.
-    pub(super) fn left(&self, now: Instant) -> Duration {
-        self.ends.since(now)
+    pub(super) fn remaining(&self, now: Instant) -> Duration {
+        self.expires_at.since(now)
     }
 
     /// When the last of its answer may come.
-    pub(super) fn last_answer(&self) -> Instant {
-        if self.is_stream() { self.deadline } else { self.ends }
+    pub(super) fn latest_response_end(&self) -> Instant {
+        if self.is_stream() { self.deadline } else { self.expires_at }
     }
 
     /// The time within which an answer earns its full worth.
-    pub(super) fn aim(&self) -> Duration {
+    pub(super) fn target_latency(&self) -> Duration {
         Duration::from_millis(self.route.target_latency_ms)
     }
 
@@ -160,7 +161,7 @@
     pub(super) fn headers_for(&self, now: Instant, instance: &str, last_event: Option<&str>) -> HeaderMap {
         let mut headers = HeaderMap::with_capacity(self.headers.len() + 4);
         for (name, value) in &self.headers {
-            if is_passed(name) && (last_event.is_none() || name != "last-event-id") {
+            if is_forwarded(name) && (last_event.is_none() || name != "last-event-id") {
                 headers.append(name.clone(), value.clone());
             }
         }
@@ -183,9 +184,9 @@
     }
 }
 
-fn pick(route: &Route, roll: f64) -> Rc<str> {
+fn pick_service(route: &Route, fraction: f64) -> Rc<str> {
     let total: f64 = route.split.iter().map(|(_, weight)| weight).sum();
-    let mut left = roll * total;
+    let mut left = fraction * total;
     for (service, weight) in &route.split {
         left -= weight;
         if left < 0.0 {
--- a/crates/onyxstile-system/src/role/proxy/chain.rs
+++ b/crates/onyxstile-system/src/role/proxy/chain.rs
@@ -9,19 +9,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::Node;
+use super::Proxy;
 use super::call::Call;
-use super::no_turn::{BEFORE_PATIENCE, NoTurn};
+use super::turn_error::{PREPARE_TIMEOUT, TurnError};
 use crate::clock::Instant;
 use crate::program::{Turn, nearest};
 use crate::wire::{Request, Response};
 
 /// How long the nearest machine has before all are asked: some round trips inside a region, and a turn of its processor.
-const HEDGE_AFTER: Duration = Duration::from_millis(25);
+const HEDGE_DELAY: Duration = Duration::from_millis(25);
 /// How long a machine that had to be helped out is not asked first.
-const DOUBT: Duration = Duration::from_secs(2);
+const SLOW_MEMBER_PENALTY: Duration = Duration::from_secs(2);
 /// Turns asked for at once.
-const TURNS_A_QUESTION: usize = 64;
+const TURNS_PER_REQUEST: usize = 64;
 
 /// What a turn goes on from.
 #[derive(Debug, Clone, Default)]
@@ -46,55 +46,56 @@
 
 /// Machines that did not answer soon, and until when they are not asked first.
 #[derive(Debug, Default)]
-pub(super) struct Doubts {
+pub(super) struct SlowMembers {
     until: HashMap<Ipv4Addr, Instant>,
 }
 
-impl Doubts {
+impl SlowMembers {
     fn note(&mut self, now: Instant, member: Ipv4Addr) {
-        self.until.insert(member, now + DOUBT);
+        self.until.insert(member, now + SLOW_MEMBER_PENALTY);
     }
 
-    fn holds(&self, now: Instant, member: Ipv4Addr) -> bool {
+    fn contains(&self, now: Instant, member: Ipv4Addr) -> bool {
         self.until.get(&member).is_some_and(|until| *until > now)
     }
 }
 
-impl Node {
+impl Proxy {
     /// The chain that a turn goes on from.
-    pub(super) async fn chain(self: &Rc<Node>, call: &Call) -> Result<Chain, NoTurn> {
+    pub(super) async fn chain(self: &Rc<Proxy>, call: &Call) -> Result<Chain, TurnError> {
         let Some(previous) = &call.previous else { return Ok(Chain::default()) };
-        let patience = BEFORE_PATIENCE.min(call.left(self.clock.now()));
-        let last = self.turn(previous, patience).await?;
-        let mut found = self.turns_nearby(&last.ancestors).await;
+        let timeout = PREPARE_TIMEOUT.min(call.remaining(self.clock.now()));
+        let last = self.turn(previous, timeout).await?;
+        let mut found = self.turns_from_nearest(&last.ancestors).await;
         let mut fetches = Vec::new();
         for id in last.ancestors.iter().filter(|id| !found.contains_key(*id)) {
-            let (node, id) = (self.clone(), id.clone());
-            fetches.push(tokio::task::spawn_local(async move { node.turn_of_quorum(&id, patience).await }));
+            let (proxy, id) = (self.clone(), id.clone());
+            fetches.push(tokio::task::spawn_local(async move { proxy.turn_from_quorum(&id, timeout).await }));
         }
         for fetch in fetches {
             // What the last turn was built on was kept when it ran; its absence is doubt, not knowledge.
-            let turn = fetch.await.map_err(|_| NoTurn::Unsure)?.map_err(|_| NoTurn::Unsure)?;
+            let turn =
+                fetch.await.map_err(|_| TurnError::Indeterminate)?.map_err(|_| TurnError::Indeterminate)?;
             found.insert(turn.id.clone(), turn);
         }
         let mut turns = Vec::with_capacity(last.ancestors.len() + 1);
         for id in &last.ancestors {
-            turns.push(found.get(id).cloned().ok_or(NoTurn::Unsure)?);
+            turns.push(found.get(id).cloned().ok_or(TurnError::Indeterminate)?);
         }
         turns.push(last);
         Ok(Chain { turns })
     }
 
-    async fn turn(self: &Rc<Node>, id: &str, patience: Duration) -> Result<Rc<Turn>, NoTurn> {
+    async fn turn(self: &Rc<Proxy>, id: &str, timeout: Duration) -> Result<Rc<Turn>, TurnError> {
         let ids = [id.to_owned()];
-        match self.turns_nearby(&ids).await.remove(id) {
+        match self.turns_from_nearest(&ids).await.remove(id) {
             Some(turn) => Ok(turn),
-            None => self.turn_of_quorum(id, patience).await,
+            None => self.turn_from_quorum(id, timeout).await,
         }
     }
 
     /// Those of some turns that are remembered here, or that the nearest machines tell soon.
-    async fn turns_nearby(self: &Rc<Node>, ids: &[String]) -> HashMap<String, Rc<Turn>> {
+    async fn turns_from_nearest(self: &Rc<Proxy>, ids: &[String]) -> HashMap<String, Rc<Turn>> {
         let mut found = HashMap::new();
         let mut wanted: BTreeMap<Ipv4Addr, Vec<String>> = BTreeMap::new();
         for id in ids {
@@ -104,37 +105,38 @@
                 wanted.entry(member).or_default().push(id.clone());
             }
         }
-        let mut questions = Vec::new();
+        let mut tasks = Vec::new();
         for (member, ids) in wanted {
-            for ids in ids.chunks(TURNS_A_QUESTION) {
-                let (node, ids) = (self.clone(), ids.to_vec());
-                let question = tokio::task::spawn_local(async move { node.turns_of(member, ids).await });
-                questions.push((member, question));
+            for ids in ids.chunks(TURNS_PER_REQUEST) {
+                let (proxy, ids) = (self.clone(), ids.to_vec());
+                let task =
+                    tokio::task::spawn_local(async move { proxy.turns_from_member(member, ids).await });
+                tasks.push((member, task));
             }
         }
-        let until = tokio::time::Instant::now() + HEDGE_AFTER;
-        for (member, question) in questions {
-            match tokio::time::timeout_at(until, question).await {
+        let until = tokio::time::Instant::now() + HEDGE_DELAY;
+        for (member, task) in tasks {
+            match tokio::time::timeout_at(until, task).await {
                 Ok(Ok(turns)) => found.extend(turns.into_iter().map(|turn| (turn.id.clone(), turn))),
-                _ => self.doubts.borrow_mut().note(self.clock.now(), member),
+                _ => self.slow_members.borrow_mut().note(self.clock.now(), member),
             }
         }
         found
     }
 
     fn nearest(&self, id: &str) -> Option<Ipv4Addr> {
-        let (now, doubts) = (self.clock.now(), self.doubts.borrow());
+        let (now, slow_members) = (self.clock.now(), self.slow_members.borrow());
         let settings = self.settings.borrow();
-        let is_doubted = |member| doubts.holds(now, member);
-        nearest(&self.plan.borrow(), id, settings.fault_tolerance, &settings.zone, is_doubted)
+        let is_slow = |member| slow_members.contains(now, member);
+        nearest(&self.plan.borrow(), id, settings.fault_tolerance, &settings.zone, is_slow)
     }
 
     /// Those of some turns that one machine holds; they are remembered, also if nobody waits for them any more.
-    async fn turns_of(&self, member: Ipv4Addr, ids: Vec<String>) -> Vec<Rc<Turn>> {
+    async fn turns_from_member(&self, member: Ipv4Addr, ids: Vec<String>) -> Vec<Rc<Turn>> {
         let to = SocketAddrV4::new(member, self.settings.borrow().peer_port());
         let epoch = self.plan.borrow().epoch;
         let request = Request::GetTurns { epoch, ids };
-        let Ok(Response::Turns { turns, .. }) = self.client.call(to, &request, BEFORE_PATIENCE).await else {
+        let Ok(Response::Turns { turns, .. }) = self.client.call(to, &request, PREPARE_TIMEOUT).await else {
             return Vec::new();
         };
         let turns: Vec<Rc<Turn>> = turns.into_iter().flatten().collect();
@@ -143,23 +145,24 @@
     }
 
     /// A turn from any machine of its group; that there is none only if a quorum that is sure says so.
-    async fn turn_of_quorum(self: &Rc<Node>, id: &str, patience: Duration) -> Result<Rc<Turn>, NoTurn> {
+    async fn turn_from_quorum(self: &Rc<Proxy>, id: &str, timeout: Duration) -> Result<Rc<Turn>, TurnError> {
         let epoch = self.plan.borrow().epoch;
         if epoch == 0 {
-            return Err(NoTurn::Unsure);
+            return Err(TurnError::Indeterminate);
         }
-        let mut answers = self.ask(id, Request::GetTurns { epoch, ids: vec![id.to_owned()] }, patience);
-        while let Some((member, response)) = answers.next().await {
+        let mut responses =
+            self.request_members(id, Request::GetTurns { epoch, ids: vec![id.to_owned()] }, timeout);
+        while let Some((member, response)) = responses.next().await {
             let Response::Turns { turns, is_sure } = response else { continue };
             if let Some(turn) = turns.into_iter().flatten().next() {
                 self.turns.borrow_mut().insert(turn.clone());
                 return Ok(turn);
             }
-            if is_sure && answers.count(member, Response::Done) {
+            if is_sure && responses.count(member, Response::Done) {
                 log::debug!("turn {id} is known nowhere");
-                return Err(NoTurn::NoPrevious);
+                return Err(TurnError::PreviousNotFound);
             }
         }
-        Err(NoTurn::Unsure)
+        Err(TurnError::Indeterminate)
     }
 }
--- a/crates/onyxstile-system/src/role/proxy/answer.rs
+++ b/crates/onyxstile-system/src/role/proxy/client_response.rs
@@ -11,81 +11,81 @@
 use hyper::{Response, StatusCode};
 use tokio::sync::mpsc;
 
-use super::call::is_passed;
+use super::call::is_forwarded;
 
 /// A stream that ends before its last piece: the connection is closed, so that it doesn't look complete.
 #[derive(Debug)]
-pub(super) struct BrokenOff;
+pub(super) struct StreamInterrupted;
 
-impl std::fmt::Display for BrokenOff {
+impl std::fmt::Display for StreamInterrupted {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str("the stream was broken off")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for StreamInterrupted {}
 
 /// What is passed on of a stream.
 #[derive(Debug)]
-pub(super) enum Piece {
+pub(super) enum Chunk {
     /// Bytes.
-    Bytes(Bytes),
+    Data(Bytes),
     /// The stream is whole.
     End,
 }
 
 /// The body of an answer.
-pub(super) enum AnswerBody {
+pub(super) enum ResponseBody {
     /// All of it.
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     /// Pieces as they come, until one says that it is whole. A sender that is gone before, whatever ended it, says nothing.
-    Stream(mpsc::Receiver<Piece>),
+    Stream(mpsc::Receiver<Chunk>),
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = StreamInterrupted;
 
     fn poll_frame(
         self: Pin<&mut Self>, context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamInterrupted>>> {
         match self.get_mut() {
-            AnswerBody::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            AnswerBody::Stream(receiver) => receiver.poll_recv(context).map(|piece| match piece {
-                Some(Piece::Bytes(bytes)) => Some(Ok(Frame::data(bytes))),
-                Some(Piece::End) => None,
-                None => Some(Err(BrokenOff)),
+            ResponseBody::Complete(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            ResponseBody::Stream(receiver) => receiver.poll_recv(context).map(|chunk| match chunk {
+                Some(Chunk::Data(bytes)) => Some(Ok(Frame::data(bytes))),
+                Some(Chunk::End) => None,
+                None => Some(Err(StreamInterrupted)),
             }),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, AnswerBody::Whole(None))
+        matches!(self, ResponseBody::Complete(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(bytes) => {
+            ResponseBody::Complete(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            AnswerBody::Stream(_) => SizeHint::default(),
+            ResponseBody::Stream(_) => SizeHint::default(),
         }
     }
 }
 
 /// An answer to a client.
-pub(super) type ClientAnswer = Response<AnswerBody>;
+pub(super) type ClientResponse = Response<ResponseBody>;
 
 /// The proxy's own answer.
-pub(super) fn own(status: StatusCode, reason: &str) -> ClientAnswer {
-    let mut response = Response::new(AnswerBody::Whole(Some(Bytes::copy_from_slice(reason.as_bytes()))));
+pub(super) fn reply(status: StatusCode, reason: &str) -> ClientResponse {
+    let mut response = Response::new(ResponseBody::Complete(Some(Bytes::copy_from_slice(reason.as_bytes()))));
     *response.status_mut() = status;
     response
 }
 
 /// The request did not run and never will; the client may come back after `wait`.
-pub(super) fn not_run(wait: Duration, reason: &str) -> ClientAnswer {
-    let mut response = own(StatusCode::SERVICE_UNAVAILABLE, reason);
+pub(super) fn not_executed(wait: Duration, reason: &str) -> ClientResponse {
+    let mut response = reply(StatusCode::SERVICE_UNAVAILABLE, reason);
     let seconds = format!("{:.2}", wait.as_secs_f64());
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         response.headers_mut().insert("retry-after", value);
@@ -94,15 +94,15 @@
 }
 
 /// The connection ends after this answer.
-pub(super) fn close_after(response: &mut ClientAnswer) {
+pub(super) fn close_after(response: &mut ClientResponse) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
 /// Status and headers of an endpoint's answer, as the client is to get them.
-pub(super) fn copy_head(head: &response::Parts, answer: &mut ClientAnswer) {
-    *answer.status_mut() = head.status;
-    for (name, value) in head.headers.iter().filter(|(name, _)| is_passed(name)) {
-        answer.headers_mut().append(name.clone(), value.clone());
+pub(super) fn copy_head(head: &response::Parts, response: &mut ClientResponse) {
+    *response.status_mut() = head.status;
+    for (name, value) in head.headers.iter().filter(|(name, _)| is_forwarded(name)) {
+        response.headers_mut().append(name.clone(), value.clone());
     }
 }
 
--- a/crates/onyxstile-system/src/role/proxy/conversation.rs
+++ b/crates/onyxstile-system/src/role/proxy/conversation.rs
@@ -4,23 +4,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::Node;
-use super::call::{Call, TurnHead};
+use super::Proxy;
+use super::call::{Call, TurnRequest};
 use super::chain::Chain;
-use super::no_turn::{BEFORE_PATIENCE, NoTurn};
+use super::turn_error::{PREPARE_TIMEOUT, TurnError};
 use crate::program::{Admission, ClaimSummary, Entry, Record, Turn, admit, fits, is_first, merge_claims};
 use crate::role::membership::wall_clock_ms;
 use crate::wire::{Request, Response};
 
 /// How long the storage machines have for what a turn leaves.
-const AFTER_PATIENCE: Duration = Duration::from_millis(3000);
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(3000);
 
 /// A claim on a budget. Dropped before it is settled, it is settled at what was delivered so far.
 pub(super) struct Claim {
-    node: Rc<Node>,
+    proxy: Rc<Proxy>,
     program: String,
     request: String,
-    most: u64,
+    max_tokens: u64,
     delivered: Cell<u64>,
     is_settled: Cell<bool>,
     is_first: bool,
@@ -28,7 +28,7 @@
 
 impl Claim {
     /// Tokens were passed to the client.
-    pub(super) fn deliver(&self, tokens: u64) {
+    pub(super) fn add_delivered(&self, tokens: u64) {
         self.delivered.set(self.delivered.get() + tokens);
     }
 
@@ -43,14 +43,14 @@
             return;
         }
         let settled = Some(self.delivered.get());
-        let entry = Entry { request: self.request.clone(), most: self.most, settled };
+        let entry = Entry { request: self.request.clone(), most: self.max_tokens, settled };
         let record = Record::Entry { program: self.program.clone(), entry };
-        let (node, key) = (self.node.clone(), self.program.clone());
-        let work = node.phase.shutdown().enter();
+        let (proxy, key) = (self.proxy.clone(), self.program.clone());
+        let work = proxy.phase.shutdown().enter();
         tokio::task::spawn_local(async move {
             let _work = work;
             let write = |epoch| Request::Write { epoch, records: vec![record.clone()] };
-            if node.write_quorum(&key, write, AFTER_PATIENCE).await.is_none() {
+            if proxy.write_quorum(&key, write, COMMIT_TIMEOUT).await.is_none() {
                 log::warn!("a claim of program {key} stays at its most");
             }
         });
@@ -63,42 +63,44 @@
     }
 }
 
-impl Node {
+impl Proxy {
     /// Claims the most that a turn may generate; `None` where the call is no turn with a budget.
-    pub(super) async fn claim(self: &Rc<Node>, call: &Call) -> Result<Option<Claim>, NoTurn> {
+    pub(super) async fn claim(self: &Rc<Proxy>, call: &Call) -> Result<Option<Claim>, TurnError> {
         let Some(head) = &call.turn else { return Ok(None) };
-        let entry = Entry { request: call.id.clone(), most: head.most, settled: None };
+        let entry = Entry { request: call.id.clone(), most: head.max_tokens, settled: None };
         let mut claim = Claim {
-            node: self.clone(),
+            proxy: self.clone(),
             program: head.program.clone(),
             request: call.id.clone(),
-            most: head.most,
+            max_tokens: head.max_tokens,
             delivered: Cell::new(0),
             is_settled: Cell::new(false),
             is_first: false,
         };
-        let patience = BEFORE_PATIENCE.min(call.left(self.clock.now()));
-        let answers = self.reserve(head, &entry, false, patience).await?;
-        let summaries: Vec<ClaimSummary> = answers
+        let timeout = PREPARE_TIMEOUT.min(call.remaining(self.clock.now()));
+        let responses = self.reserve(head, &entry, false, timeout).await?;
+        let summaries: Vec<ClaimSummary> = responses
             .into_iter()
-            .filter_map(|answer| if let Response::Reserved(summary) = answer { Some(summary) } else { None })
+            .filter_map(
+                |response| if let Response::Reserved(summary) = response { Some(summary) } else { None },
+            )
             .collect();
         claim.is_first = is_first(&call.id, &summaries);
-        let fits = match admit(head.budget, &call.id, head.most, &summaries) {
+        let fits = match admit(head.budget, &call.id, head.max_tokens, &summaries) {
             Admission::Fits => true,
             Admission::Spent => false,
-            Admission::Unsure => self.fits_all_claims(head, &entry, patience).await?,
+            Admission::Unsure => self.fits_all_claims(head, &entry, timeout).await?,
         };
-        if fits { Ok(Some(claim)) } else { Err(NoTurn::Spent) }
+        if fits { Ok(Some(claim)) } else { Err(TurnError::BudgetSpent) }
     }
 
     /// Whether a turn fits beside all claims, told one by one.
     async fn fits_all_claims(
-        self: &Rc<Node>, head: &TurnHead, entry: &Entry, patience: Duration,
-    ) -> Result<bool, NoTurn> {
+        self: &Rc<Proxy>, head: &TurnRequest, entry: &Entry, timeout: Duration,
+    ) -> Result<bool, TurnError> {
         let mut claims: Vec<Entry> = Vec::new();
-        for answer in self.reserve(head, entry, true, patience).await? {
-            if let Response::Claims(entries) = answer {
+        for response in self.reserve(head, entry, true, timeout).await? {
+            if let Response::Claims(entries) = response {
                 merge_claims(&mut claims, entries);
             }
         }
@@ -107,22 +109,23 @@
 
     /// Writes a claim to a quorum; what its members answer.
     async fn reserve(
-        self: &Rc<Node>, head: &TurnHead, entry: &Entry, wants_all: bool, patience: Duration,
-    ) -> Result<Vec<Response>, NoTurn> {
+        self: &Rc<Proxy>, head: &TurnRequest, entry: &Entry, wants_all: bool, timeout: Duration,
+    ) -> Result<Vec<Response>, TurnError> {
         let (program, entry) = (head.program.clone(), entry.clone());
         let request =
             |epoch| Request::Reserve { epoch, program: program.clone(), entry: entry.clone(), wants_all };
-        let answers = self.write_quorum(&program, request, patience).await.ok_or(NoTurn::Unsure)?;
-        let is_expected = |answer: &Response| match answer {
+        let responses =
+            self.write_quorum(&program, request, timeout).await.ok_or(TurnError::Indeterminate)?;
+        let is_expected = |response: &Response| match response {
             Response::Reserved(_) => !wants_all,
             Response::Claims(_) => wants_all,
             _ => false,
         };
-        if answers.iter().all(is_expected) { Ok(answers) } else { Err(NoTurn::Unsure) }
+        if responses.iter().all(is_expected) { Ok(responses) } else { Err(TurnError::Indeterminate) }
     }
 
     /// Keeps a turn that was answered whole; true once a quorum has it on disk.
-    pub(super) async fn keep(self: &Rc<Node>, call: &Call, chain: &Chain, output: Vec<u8>) -> bool {
+    pub(super) async fn store_turn(self: &Rc<Proxy>, call: &Call, chain: &Chain, output: Vec<u8>) -> bool {
         let turn = Rc::new(Turn {
             id: call.id.clone(),
             ancestors: chain.turns.iter().map(|turn| turn.id.clone()).collect(),
@@ -132,12 +135,12 @@
             ended_ms: wall_clock_ms(),
         });
         let write = |epoch| Request::Write { epoch, records: vec![Record::Turn(turn.clone())] };
-        let is_kept = self.write_quorum(&turn.id, write, AFTER_PATIENCE).await.is_some();
-        if is_kept {
+        let is_stored = self.write_quorum(&turn.id, write, COMMIT_TIMEOUT).await.is_some();
+        if is_stored {
             self.turns.borrow_mut().insert(turn);
         } else {
             log::warn!("turn {} was not kept by a quorum", call.id);
         }
-        is_kept
+        is_stored
     }
 }
--- a/crates/onyxstile-system/src/role/proxy/counts.rs
+++ b/crates/onyxstile-system/src/role/proxy/counts.rs
@@ -4,7 +4,7 @@
 
 /// Why a send brought no answer that is passed on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Miss {
+pub(super) enum SendFailure {
     /// The endpoint did not run it.
     NotExecuted,
     /// Nothing of it was sent.
@@ -29,20 +29,20 @@
     /// Too few storage machines answer.
     NoStorage,
     /// No endpoint took it.
-    NotTaken,
+    NotAccepted,
     /// The program's budget is spent.
     BudgetSpent,
     /// There is no such turn to go on from.
     NoPrevious,
     /// The process ends before the answer may be there.
-    Ending,
+    ShuttingDown,
 }
 
-const MISSES: [(Miss, &str); 4] = [
-    (Miss::NotExecuted, "not_executed"),
-    (Miss::NotSent, "not_sent"),
-    (Miss::Unknown, "unknown"),
-    (Miss::ServerError, "server_error"),
+const SEND_FAILURES: [(SendFailure, &str); 4] = [
+    (SendFailure::NotExecuted, "not_executed"),
+    (SendFailure::NotSent, "not_sent"),
+    (SendFailure::Unknown, "unknown"),
+    (SendFailure::ServerError, "server_error"),
 ];
 
 const REFUSALS: [(Refusal, &str); 9] = [
@@ -51,33 +51,33 @@
     (Refusal::NoEndpoint, "no_endpoint"),
     (Refusal::Busy, "busy"),
     (Refusal::NoStorage, "no_storage"),
-    (Refusal::NotTaken, "not_taken"),
+    (Refusal::NotAccepted, "not_taken"),
     (Refusal::BudgetSpent, "budget_spent"),
     (Refusal::NoPrevious, "no_previous"),
-    (Refusal::Ending, "ending"),
+    (Refusal::ShuttingDown, "ending"),
 ];
 
 /// The counts.
 #[derive(Debug, Default)]
 pub(super) struct Counts {
     requests: Cell<u64>,
-    misses: [Cell<u64>; MISSES.len()],
+    failures: [Cell<u64>; SEND_FAILURES.len()],
     refusals: [Cell<u64>; REFUSALS.len()],
 }
 
 impl Counts {
     /// A request of a client has come.
-    pub fn request(&self) {
+    pub fn count_request(&self) {
         add(&self.requests);
     }
 
     /// A send has missed.
-    pub fn miss(&self, miss: Miss) {
-        add(&self.misses[miss as usize]);
+    pub fn count_failure(&self, failure: SendFailure) {
+        add(&self.failures[failure as usize]);
     }
 
     /// A request was answered by the proxy itself.
-    pub fn refuse(&self, refusal: Refusal) {
+    pub fn count_refusal(&self, refusal: Refusal) {
         add(&self.refusals[refusal as usize]);
     }
 
@@ -87,8 +87,8 @@
     }
 
     /// Sends that missed, by cause.
-    pub fn misses(&self) -> Vec<(&'static str, u64)> {
-        MISSES.iter().map(|(miss, name)| (*name, self.misses[*miss as usize].get())).collect()
+    pub fn failures(&self) -> Vec<(&'static str, u64)> {
+        SEND_FAILURES.iter().map(|(failure, name)| (*name, self.failures[*failure as usize].get())).collect()
     }
 
     /// Requests that the proxy answered, by cause.
--- /dev/null
+++ b/crates/onyxstile-system/src/role/proxy/destination_call.rs
@@ -0,0 +1,107 @@
+//! A call that is counted at its destination and holds a slot there, for as long as it is out or awaits a retry.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use super::{DestinationKey, Proxy};
+use crate::balance::EndpointKey;
+use crate::retry::Destination;
+
+/// A call that waits for a slot looks again after this time at the latest.
+const SLOT_POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// A call that is counted at a destination; dropped, it is no more.
+pub(super) struct DestinationCall {
+    pub proxy: Rc<Proxy>,
+    pub key: DestinationKey,
+    endpoint: Option<EndpointKey>,
+    pub is_late: bool,
+}
+
+impl DestinationCall {
+    pub(super) fn new(proxy: Rc<Proxy>, key: DestinationKey, is_first: bool) -> DestinationCall {
+        let destination_call = DestinationCall { proxy, key, endpoint: None, is_late: false };
+        let retry_policy = destination_call.proxy.retry_policy.clone();
+        destination_call.with(|destination, now| {
+            if is_first { destination.first_send(now, &retry_policy) } else { destination.resend() }
+        });
+        destination_call
+    }
+
+    /// Tells or asks the destination something.
+    pub(super) fn with<T>(&self, action: impl FnOnce(&mut Destination, crate::clock::Instant) -> T) -> T {
+        let now = self.proxy.clock.now();
+        let slots = self.proxy.slots.borrow().total();
+        let mut destinations = self.proxy.destinations.borrow_mut();
+        let destination = destinations
+            .entry(self.key.clone())
+            .or_insert_with(|| Destination::new(now, slots, &self.proxy.retry_policy));
+        action(destination, now)
+    }
+
+    /// The chance that a firing resends the call.
+    pub(super) fn resend_probability(&self) -> f64 {
+        let retry_policy = self.proxy.retry_policy.clone();
+        self.with(|destination, now| destination.chance(now, &retry_policy))
+    }
+
+    /// When a timer that is due at `due` may fire.
+    pub(super) fn fires_at(&self, due: crate::clock::Instant) -> crate::clock::Instant {
+        self.with(|destination, _| destination.fires_at(due))
+    }
+
+    /// Takes a slot for a send to `endpoint`; false if there is none before `ends`.
+    pub(super) async fn take_slot(
+        &mut self, expires_at: crate::clock::Instant, endpoint: EndpointKey,
+    ) -> bool {
+        self.release_slot();
+        let proxy = self.proxy.clone();
+        if !proxy.slots.borrow_mut().take(&self.key) {
+            proxy.slots.borrow_mut().wait(&self.key);
+            let waiter = SlotWaiter { proxy: proxy.clone(), key: self.key.clone() };
+            loop {
+                if proxy.clock.now() >= expires_at {
+                    return false;
+                }
+                tokio::time::timeout(SLOT_POLL_INTERVAL, proxy.slot_freed.notified()).await.ok();
+                if proxy.slots.borrow_mut().take(&self.key) {
+                    break;
+                }
+            }
+            drop(waiter);
+        }
+        self.endpoint = Some(endpoint);
+        if let Some(endpoint) = proxy.endpoints.borrow_mut().get_mut(endpoint) {
+            endpoint.begin();
+        }
+        true
+    }
+
+    fn release_slot(&mut self) {
+        let Some(endpoint) = self.endpoint.take() else { return };
+        self.proxy.slots.borrow_mut().release(&self.key, self.is_late);
+        self.proxy.slot_freed.notify_one();
+        if let Some(endpoint) = self.proxy.endpoints.borrow_mut().get_mut(endpoint) {
+            endpoint.end();
+        }
+    }
+}
+
+impl Drop for DestinationCall {
+    fn drop(&mut self) {
+        self.release_slot();
+        self.with(|destination, _| destination.end());
+    }
+}
+
+/// A call that waits for a slot.
+struct SlotWaiter {
+    proxy: Rc<Proxy>,
+    key: DestinationKey,
+}
+
+impl Drop for SlotWaiter {
+    fn drop(&mut self) {
+        self.proxy.slots.borrow_mut().stop_waiting(&self.key);
+    }
+}
--- a/crates/onyxstile-system/src/role/proxy/feed.rs
+++ b/crates/onyxstile-system/src/role/proxy/feed.rs
@@ -2,19 +2,19 @@
 
 use std::rc::Rc;
 
-use super::{DestinationKey, Node};
+use super::{DestinationKey, Proxy};
 use crate::configuration;
 use crate::role::rpc::Answer;
 use crate::wire::{Feed, Published, Request, Response};
 
-impl Node {
+impl Proxy {
     /// Answers the agent.
-    pub(super) fn answer_agent(self: Rc<Node>, request: Request) -> Answer {
+    pub(super) fn handle_agent_request(self: Rc<Proxy>, request: Request) -> Answer {
         let response = match request {
             Request::Feed(feed) => {
-                self.take(feed);
+                self.apply_feed(feed);
                 Response::Fed {
-                    life: self.life,
+                    life: self.incarnation,
                     evidence: self.endpoints.borrow().evidence(self.clock.now()),
                 }
             }
@@ -23,9 +23,9 @@
         Box::pin(std::future::ready(response))
     }
 
-    fn take(&self, feed: Feed) {
+    fn apply_feed(&self, feed: Feed) {
         if let Some(published) = feed.state {
-            self.take_state(published);
+            self.apply_state(published);
         }
         if let Some(relays) = feed.relays {
             self.endpoints.borrow_mut().set_relays(relays);
@@ -38,25 +38,25 @@
             }
         }
         self.endpoints.borrow_mut().hear(now, &feed.evidence);
-        self.forget_endpoints();
+        self.remove_expired_endpoints();
         if feed.is_fresh && self.configuration.borrow().is_some() {
-            self.phase.become_ready(now);
+            self.phase.mark_ready(now);
         }
     }
 
-    fn forget_endpoints(&self) {
+    fn remove_expired_endpoints(&self) {
         for key in self.endpoints.borrow_mut().forget(self.clock.now()) {
             self.pools.drop_idle(key);
             self.destinations.borrow_mut().remove(&DestinationKey::Endpoint(key));
         }
     }
 
-    fn take_state(&self, published: Published) {
+    fn apply_state(&self, published: Published) {
         if published.sequence <= self.sequence.get() {
             return;
         }
         if let Some(stored) = &published.configuration
-            && !self.take_configuration(stored.revision, &stored.body)
+            && !self.apply_configuration(stored.revision, &stored.body)
         {
             return;
         }
@@ -65,7 +65,7 @@
         self.plan_changed.notify_waiters();
     }
 
-    fn take_configuration(&self, revision: u64, body: &[u8]) -> bool {
+    fn apply_configuration(&self, revision: u64, body: &[u8]) -> bool {
         let is_newer = self.configuration.borrow().as_ref().is_none_or(|held| held.revision < revision);
         if !is_newer {
             return true;
--- a/crates/onyxstile-system/src/role/proxy/forward.rs
+++ b/crates/onyxstile-system/src/role/proxy/forward.rs
@@ -9,115 +9,120 @@
 use hyper::http::response;
 use hyper::{Request, StatusCode};
 
-use super::Node;
-use super::answer::{AnswerBody, ClientAnswer, close_after, copy_head, not_run, own};
+use super::Proxy;
 use super::call::Call;
+use super::call_sender::{CallSender, SendOutcome};
 use super::chain::Chain;
+use super::client_response::{ClientResponse, ResponseBody, close_after, copy_head, not_executed, reply};
 use super::conversation::Claim;
 use super::counts::Refusal;
-use super::no_turn::NoTurn;
-use super::phase::{Entered, Phase};
-use super::relay_stream::{self, Relay};
-use super::sending::{Ended, Sending};
+use super::phase::{OpenRequest, Phase};
+use super::relay_stream::{self, StreamRelay};
+use super::turn_error::TurnError;
 use crate::clock::Instant;
 use crate::role::http::{BodyError, read_body};
 
 /// When a client may come back that found no endpoint.
-const COME_BACK: Duration = Duration::from_millis(250);
+const RETRY_AFTER: Duration = Duration::from_millis(250);
 /// How long a start takes until the configuration is there, once controllers can be reached.
-const START: Duration = Duration::from_millis(600);
+const STARTUP_TIME: Duration = Duration::from_millis(600);
 
 /// Answers one request of a client.
-pub(super) async fn answer(node: Rc<Node>, request: Request<Incoming>) -> ClientAnswer {
-    node.counts.request();
-    let entered = Phase::enter(&node);
-    let mut answer = route(&node, request, entered).await;
-    if node.phase.is_draining() {
-        close_after(&mut answer);
+pub(super) async fn handle(proxy: Rc<Proxy>, request: Request<Incoming>) -> ClientResponse {
+    proxy.counts.count_request();
+    let open_request = Phase::begin_request(&proxy);
+    let mut response = route(&proxy, request, open_request).await;
+    if proxy.phase.is_draining() {
+        close_after(&mut response);
     }
-    answer
+    response
 }
 
-async fn route(node: &Rc<Node>, request: Request<Incoming>, entered: Entered) -> ClientAnswer {
+async fn route(proxy: &Rc<Proxy>, request: Request<Incoming>, open_request: OpenRequest) -> ClientResponse {
     let (head, body) = request.into_parts();
-    let Some(configuration) = node.configuration.borrow().clone() else {
-        let since_start = node.clock.now().since(Instant::default());
-        let wait = START.saturating_sub(since_start).max(COME_BACK);
-        return refuse(node, Refusal::NoConfiguration, wait);
+    let Some(configuration) = proxy.configuration.borrow().clone() else {
+        let since_start = proxy.clock.now().since(Instant::default());
+        let wait = STARTUP_TIME.saturating_sub(since_start).max(RETRY_AFTER);
+        return refuse(proxy, Refusal::NoConfiguration, wait);
     };
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let Some(route) = configuration.route(host, head.uri.path()).cloned() else {
-        return refuse(node, Refusal::NoRoute, COME_BACK);
+        return refuse(proxy, Refusal::NoRoute, RETRY_AFTER);
     };
-    let most = configuration.limits.max_body_bytes;
-    let mut call = Call::new(configuration, route, head, node.clock.now(), node.roll());
-    let patience = call.left(node.clock.now());
-    call.body = match read_body(body, most, patience).await {
+    let max_bytes = configuration.limits.max_body_bytes;
+    let mut call = Call::new(configuration, route, head, proxy.clock.now(), proxy.random_fraction());
+    let timeout = call.remaining(proxy.clock.now());
+    call.body = match read_body(body, max_bytes, timeout).await {
         Ok(body) => body,
-        Err(BodyError::TooLong) => return own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"),
-        Err(BodyError::Broken) => return own(StatusCode::BAD_REQUEST, "the body ended early"),
+        Err(BodyError::TooLong) => return reply(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"),
+        Err(BodyError::Broken) => return reply(StatusCode::BAD_REQUEST, "the body ended early"),
         Err(BodyError::TooSlow) => {
-            return own(StatusCode::REQUEST_TIMEOUT, "the body did not end in time");
+            return reply(StatusCode::REQUEST_TIMEOUT, "the body did not end in time");
         }
     };
     // What would be cut at the end is not begun; heads that were late, and bodies.
-    if node.phase.ends_before(call.last_answer()) {
-        return refuse(node, Refusal::Ending, COME_BACK);
+    if proxy.phase.ends_before(call.latest_response_end()) {
+        return refuse(proxy, Refusal::ShuttingDown, RETRY_AFTER);
     }
-    if node.endpoints.borrow().usable(&call.service) == 0 {
-        return refuse(node, Refusal::NoEndpoint, COME_BACK);
+    if proxy.endpoints.borrow().usable(&call.service) == 0 {
+        return refuse(proxy, Refusal::NoEndpoint, RETRY_AFTER);
     }
-    let refused = node.refuse(&call);
-    if let Some(wait) = refused.filter(|_| call.is_surely_first()) {
-        return refuse(node, Refusal::Busy, wait);
+    let admission_delay = proxy.admission_delay(&call);
+    if let Some(wait) = admission_delay.filter(|_| call.is_certainly_first()) {
+        return refuse(proxy, Refusal::Busy, wait);
     }
-    node.endpoints.borrow_mut().note_prompt(&call.parts);
-    let (claim, chain) = tokio::join!(node.claim(&call), node.chain(&call));
+    proxy.endpoints.borrow_mut().note_prompt(&call.parts);
+    let (claim, chain) = tokio::join!(proxy.claim(&call), proxy.chain(&call));
     match (claim, chain) {
-        (Ok(claim), Ok(chain)) => match refused {
-            Some(wait) if claim.as_ref().is_none_or(Claim::is_first) => refuse(node, Refusal::Busy, wait),
-            _ => serve(node, call, claim, chain, entered).await,
+        (Ok(claim), Ok(chain)) => match admission_delay {
+            Some(wait) if claim.as_ref().is_none_or(Claim::is_first) => refuse(proxy, Refusal::Busy, wait),
+            _ => serve(proxy, call, claim, chain, open_request).await,
         },
-        (Err(NoTurn::Spent), _) => refuse(node, Refusal::BudgetSpent, COME_BACK),
-        (_, Err(NoTurn::NoPrevious)) => refuse(node, Refusal::NoPrevious, COME_BACK),
-        _ => refuse(node, Refusal::NoStorage, COME_BACK),
+        (Err(TurnError::BudgetSpent), _) => refuse(proxy, Refusal::BudgetSpent, RETRY_AFTER),
+        (_, Err(TurnError::PreviousNotFound)) => refuse(proxy, Refusal::NoPrevious, RETRY_AFTER),
+        _ => refuse(proxy, Refusal::NoStorage, RETRY_AFTER),
     }
 }
 
 /// The proxy's own answer to a request that did not run, counted; it names `wait` where the client may come back.
-fn refuse(node: &Node, refusal: Refusal, wait: Duration) -> ClientAnswer {
-    node.counts.refuse(refusal);
+fn refuse(proxy: &Proxy, refusal: Refusal, wait: Duration) -> ClientResponse {
+    proxy.counts.count_refusal(refusal);
     match refusal {
-        Refusal::NoConfiguration => not_run(wait, "no configuration yet"),
-        Refusal::NoRoute => own(StatusCode::NOT_FOUND, "no route"),
-        Refusal::NoEndpoint => not_run(wait, "no endpoint"),
-        Refusal::Busy => not_run(wait, "the endpoints are busy"),
-        Refusal::NoStorage => not_run(wait, "too few storage machines answer"),
-        Refusal::NotTaken => not_run(wait, "no endpoint took it"),
-        Refusal::BudgetSpent => own(StatusCode::PAYMENT_REQUIRED, "the budget is spent"),
-        Refusal::Ending => not_run(wait, "this proxy ends"),
-        Refusal::NoPrevious => own(StatusCode::NOT_FOUND, "no such turn to go on from"),
+        Refusal::NoConfiguration => not_executed(wait, "no configuration yet"),
+        Refusal::NoRoute => reply(StatusCode::NOT_FOUND, "no route"),
+        Refusal::NoEndpoint => not_executed(wait, "no endpoint"),
+        Refusal::Busy => not_executed(wait, "the endpoints are busy"),
+        Refusal::NoStorage => not_executed(wait, "too few storage machines answer"),
+        Refusal::NotAccepted => not_executed(wait, "no endpoint took it"),
+        Refusal::BudgetSpent => reply(StatusCode::PAYMENT_REQUIRED, "the budget is spent"),
+        Refusal::ShuttingDown => not_executed(wait, "this proxy ends"),
+        Refusal::NoPrevious => reply(StatusCode::NOT_FOUND, "no such turn to go on from"),
     }
 }
 
 async fn serve(
-    node: &Rc<Node>, call: Call, claim: Option<Claim>, chain: Chain, entered: Entered,
-) -> ClientAnswer {
+    proxy: &Rc<Proxy>, call: Call, claim: Option<Claim>, chain: Chain, open_request: OpenRequest,
+) -> ClientResponse {
     let body = if call.route.retained { Bytes::from(chain.body(&call.body)) } else { call.body.clone() };
-    let mut sending = Sending::new(node.clone(), call, body);
-    match sending.run().await {
-        Ended::Whole(head, body) => whole(&head, body),
-        Ended::Streaming(stream) => {
-            relay_stream::begin(Relay::new(node.clone(), sending, stream, claim, chain, entered))
-        }
-        Ended::NotRun => refuse(node, Refusal::NotTaken, COME_BACK),
-        Ended::Failed => own(StatusCode::BAD_GATEWAY, "the endpoint's answer was lost"),
-        Ended::TimedOut => own(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
+    let mut call_sender = CallSender::new(proxy.clone(), call, body);
+    match call_sender.run().await {
+        SendOutcome::Complete(head, body) => complete_response(&head, body),
+        SendOutcome::Streaming(stream) => relay_stream::begin(StreamRelay::new(
+            proxy.clone(),
+            call_sender,
+            stream,
+            claim,
+            chain,
+            open_request,
+        )),
+        SendOutcome::NotExecuted => refuse(proxy, Refusal::NotAccepted, RETRY_AFTER),
+        SendOutcome::Failed => reply(StatusCode::BAD_GATEWAY, "the endpoint's answer was lost"),
+        SendOutcome::TimedOut => reply(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
     }
 }
 
-fn whole(head: &response::Parts, body: Bytes) -> ClientAnswer {
-    let mut answer = hyper::Response::new(AnswerBody::Whole(Some(body)));
-    copy_head(head, &mut answer);
-    answer
+fn complete_response(head: &response::Parts, body: Bytes) -> ClientResponse {
+    let mut response = hyper::Response::new(ResponseBody::Complete(Some(body)));
+    copy_head(head, &mut response);
+    response
 }
--- a/crates/onyxstile-system/src/role/proxy/figures.rs
+++ b/crates/onyxstile-system/src/role/proxy/metric_values.rs
@@ -1,46 +1,50 @@
 //! What a proxy tells of itself in figures.
 
-use super::Node;
+use super::Proxy;
 use crate::figures::Figures;
 
-impl Node {
+impl Proxy {
     /// The figures of this moment.
-    pub(super) fn figures(&self) -> Figures {
-        let mut figures = Figures::default();
-        self.tell_phase(&mut figures);
-        self.tell_requests(&mut figures);
-        self.tell_services(&mut figures);
-        figures
+    pub(super) fn metric_values(&self) -> Figures {
+        let mut metrics = Figures::default();
+        self.add_phase_metrics(&mut metrics);
+        self.add_request_metrics(&mut metrics);
+        self.add_service_metrics(&mut metrics);
+        metrics
     }
 
-    fn tell_phase(&self, figures: &mut Figures) {
-        figures.flag("ready", "Whether the proxy calls itself ready.", self.phase.is_ready());
+    fn add_phase_metrics(&self, metrics: &mut Figures) {
+        metrics.flag("ready", "Whether the proxy calls itself ready.", self.phase.is_ready());
         let help = "Time from the start until it was ready; -1 before.";
-        figures.time_taken("ready_after_seconds", help, self.phase.ready_after());
+        metrics.time_taken("ready_after_seconds", help, self.phase.ready_after());
         let revision = self.configuration.borrow().as_ref().map_or(0, |held| held.revision);
-        figures.gauge("revision", "Revision of the configuration in force.", revision as f64);
-        figures.gauge("sequence", "Number of the newest control state.", self.sequence.get() as f64);
+        metrics.gauge("revision", "Revision of the configuration in force.", revision as f64);
+        metrics.gauge("sequence", "Number of the newest control state.", self.sequence.get() as f64);
         let epoch = self.plan.borrow().epoch;
-        figures.gauge("storage_epoch", "Number of the storage plan that it goes by.", epoch as f64);
+        metrics.gauge("storage_epoch", "Number of the storage plan that it goes by.", epoch as f64);
     }
 
-    fn tell_requests(&self, figures: &mut Figures) {
-        figures.gauge("requests_open", "Requests that are being answered.", self.phase.open() as f64);
+    fn add_request_metrics(&self, metrics: &mut Figures) {
+        metrics.gauge(
+            "requests_open",
+            "Requests that are being answered.",
+            self.phase.open_requests() as f64,
+        );
         let work = self.phase.shutdown().open() as f64;
-        figures.gauge(
+        metrics.gauge(
             "work_open",
             "The listener, connections of clients, and writes that none waits for.",
             work,
         );
         let requests = [("client", self.counts.requests())];
-        figures.counters("requests", "Requests of clients.", "from", &requests);
+        metrics.counters("requests", "Requests of clients.", "from", &requests);
         let help = "Sends to endpoints that brought no answer to pass on.";
-        figures.counters("sends_missed", help, "cause", &self.counts.misses());
+        metrics.counters("sends_missed", help, "cause", &self.counts.failures());
         let help = "Requests that the proxy answered itself; none of them ran.";
-        figures.counters("refusals", help, "cause", &self.counts.refusals());
+        metrics.counters("refusals", help, "cause", &self.counts.refusals());
     }
 
-    fn tell_services(&self, figures: &mut Figures) {
+    fn add_service_metrics(&self, metrics: &mut Figures) {
         let now = self.clock.now();
         let endpoints = self.endpoints.borrow();
         let services = endpoints.services();
@@ -48,14 +52,14 @@
             services.iter().map(|service| (service.clone(), value(service))).collect()
         };
         let usable = each(&|service| endpoints.usable(service) as f64);
-        figures.gauges("endpoints_usable", "Endpoints that may be called.", "service", &usable);
+        metrics.gauges("endpoints_usable", "Endpoints that may be called.", "service", &usable);
         let stretch = each(&|service| endpoints.stretch(now, service));
-        figures.gauges("stretch", "Time of streams over their time at idle endpoints.", "service", &stretch);
+        metrics.gauges("stretch", "Time of streams over their time at idle endpoints.", "service", &stretch);
         let level = each(&|service| endpoints.level(service));
-        figures.gauges("admission_level", "Part of the programs that may begin.", "service", &level);
+        metrics.gauges("admission_level", "Part of the programs that may begin.", "service", &level);
         let reading = each(&|service| endpoints.token_ms(service));
-        figures.gauges("token_milliseconds", "Learnt time to read a token.", "service", &reading);
+        metrics.gauges("token_milliseconds", "Learnt time to read a token.", "service", &reading);
         let writing = each(&|service| endpoints.event_ms(service));
-        figures.gauges("event_milliseconds", "Learnt time to write an event.", "service", &writing);
+        metrics.gauges("event_milliseconds", "Learnt time to write an event.", "service", &writing);
     }
 }
--- a/crates/onyxstile-system/src/role/proxy/phase.rs
+++ b/crates/onyxstile-system/src/role/proxy/phase.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::Node;
+use super::Proxy;
 use crate::clock::Instant;
 use crate::role::shortest_grace::ShortestGrace;
 use crate::role::shutdown::Shutdown;
@@ -16,13 +16,13 @@
     ready_after: Cell<Option<Duration>>,
     /// The time that is left, once SIGTERM has come.
     drain: OnceCell<ShortestGrace>,
-    open: Cell<usize>,
+    open_requests: Cell<usize>,
     shutdown: Rc<Shutdown>,
 }
 
 impl Phase {
     /// The proxy has all that it needs.
-    pub(super) fn become_ready(&self, now: Instant) {
+    pub(super) fn mark_ready(&self, now: Instant) {
         if self.ready_after.get().is_none() {
             log::info!("ready");
             self.ready_after.set(Some(now.since(Instant::default())));
@@ -40,8 +40,8 @@
     }
 
     /// Requests that are being answered.
-    pub(super) fn open(&self) -> usize {
-        self.open.get()
+    pub(super) fn open_requests(&self) -> usize {
+        self.open_requests.get()
     }
 
     /// SIGTERM has come; the process has so long.
@@ -66,20 +66,20 @@
     }
 
     /// Counts a request that is being answered, for as long as the returned value lives.
-    pub(super) fn enter(node: &Rc<Node>) -> Entered {
-        node.phase.open.set(node.phase.open.get() + 1);
-        Entered { node: node.clone() }
+    pub(super) fn begin_request(proxy: &Rc<Proxy>) -> OpenRequest {
+        proxy.phase.open_requests.set(proxy.phase.open_requests.get() + 1);
+        OpenRequest { proxy: proxy.clone() }
     }
 }
 
 /// A request that is being answered.
-pub(super) struct Entered {
-    node: Rc<Node>,
+pub(super) struct OpenRequest {
+    proxy: Rc<Proxy>,
 }
 
-impl Drop for Entered {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
-        let open = &self.node.phase.open;
-        open.set(open.get() - 1);
+        let open_requests = &self.proxy.phase.open_requests;
+        open_requests.set(open_requests.get() - 1);
     }
 }
--- a/crates/onyxstile-system/src/role/proxy/relay_stream.rs
+++ b/crates/onyxstile-system/src/role/proxy/relay_stream.rs
@@ -7,83 +7,84 @@
 use http_body_util::BodyExt;
 use tokio::sync::mpsc;
 
-use super::Node;
-use super::answer::{AnswerBody, ClientAnswer, Piece, copy_head};
+use super::Proxy;
 use super::attempt::Stream;
+use super::call_sender::CallSender;
 use super::chain::Chain;
+use super::client_response::{Chunk, ClientResponse, ResponseBody, copy_head};
 use super::conversation::Claim;
-use super::phase::Entered;
-use super::sending::Sending;
+use super::phase::OpenRequest;
 use crate::balance::EVENTS_NOTED;
 use crate::clock::Instant;
 use crate::sse::{Event, Splitter};
 
 /// Pieces that may wait for a client that does not read.
-const PIECES_MAX: usize = 32;
+const MAX_QUEUED_CHUNKS: usize = 32;
 /// A stream that may be taken up elsewhere is, after a silence of this many times the longest pause in time.
 const SILENCE_FACTOR: u32 = 2;
 
 /// A stream that is passed on.
-pub(super) struct Relay {
-    node: Rc<Node>,
-    sending: Sending,
+pub(super) struct StreamRelay {
+    proxy: Rc<Proxy>,
+    call_sender: CallSender,
     stream: Stream,
     claim: Option<Claim>,
     chain: Chain,
     began: Instant,
-    _entered: Entered,
+    _open_request: OpenRequest,
 }
 
 /// How the endpoint's part of a stream ended.
-enum End {
+enum StreamEnd {
     /// Whole.
-    Whole,
+    Complete,
     /// Before its end; it may go on elsewhere.
-    Broken,
+    Interrupted,
     /// The client is gone.
-    Abandoned,
+    ClientGone,
     /// Its time is over.
     TimedOut,
 }
 
 /// How many events there were when their pace was noted last, and when that was.
-struct Noted {
+struct ProgressMark {
     events: u32,
     at: Instant,
 }
 
 /// What has been passed on.
 #[derive(Default)]
-struct Passed {
+struct Forwarded {
     events: u32,
     last_event: Option<String>,
     output: Vec<u8>,
 }
 
-impl Relay {
+impl StreamRelay {
     /// A stream whose head and first bytes are there.
     pub(super) fn new(
-        node: Rc<Node>, sending: Sending, stream: Stream, claim: Option<Claim>, chain: Chain,
-        entered: Entered,
-    ) -> Relay {
-        let began = node.clock.now();
-        Relay { node, sending, stream, claim, chain, began, _entered: entered }
+        proxy: Rc<Proxy>, call_sender: CallSender, stream: Stream, claim: Option<Claim>, chain: Chain,
+        open_request: OpenRequest,
+    ) -> StreamRelay {
+        let began = proxy.clock.now();
+        StreamRelay { proxy, call_sender, stream, claim, chain, began, _open_request: open_request }
     }
 
-    async fn run(mut self, pieces: mpsc::Sender<Piece>) {
-        let mut passed = Passed { last_event: self.sending.call.last_event.clone(), ..Passed::default() };
+    async fn run(mut self, chunks: mpsc::Sender<Chunk>) {
+        let mut forwarded =
+            Forwarded { last_event: self.call_sender.call.last_event.clone(), ..Forwarded::default() };
         loop {
-            let end = self.pass_on(&pieces, &mut passed).await;
-            if matches!(end, End::Broken) {
-                self.sending.note_broken_stream();
+            let end = self.forward(&chunks, &mut forwarded).await;
+            if matches!(end, StreamEnd::Interrupted) {
+                self.call_sender.record_interrupted_stream();
             }
             match end {
-                End::Whole => break,
-                End::Broken if self.sending.call.route.resumable => {
-                    let last_event = passed.last_event.clone();
+                StreamEnd::Complete => break,
+                StreamEnd::Interrupted if self.call_sender.call.route.resumable => {
+                    let last_event = forwarded.last_event.clone();
                     let resumed = tokio::select! {
-                        resumed = self.sending.resume(last_event.as_deref()) => resumed,
-                        () = pieces.closed() => return,
+                        resumed = self.call_sender.resume(last_event.as_deref()) => resumed,
+                        () = chunks.closed() => return,
                     };
                     match resumed {
                         Some(stream) => self.stream = stream,
@@ -91,74 +92,75 @@
                     }
                 }
                 // The answer breaks off: nobody says that it is whole.
-                End::Abandoned | End::Broken | End::TimedOut => return,
+                StreamEnd::ClientGone | StreamEnd::Interrupted | StreamEnd::TimedOut => return,
             }
         }
-        self.sending.finish(self.began, false);
-        if let Some(key) = self.sending.tried.last() {
-            self.node.endpoints.borrow_mut().stream_ended(*key, passed.events);
+        self.call_sender.finish(self.began, false);
+        if let Some(key) = self.call_sender.attempted.last() {
+            self.proxy.endpoints.borrow_mut().stream_ended(*key, forwarded.events);
         }
         if let Some(checkout) = self.stream.checkout.take() {
-            self.node.give_back(checkout);
+            self.proxy.return_connection(checkout);
         }
         if let Some(claim) = &self.claim {
             claim.settle();
         }
-        if self.sending.call.route.retained {
-            let is_kept = self.node.keep(&self.sending.call, &self.chain, passed.output).await;
-            if !is_kept {
+        if self.call_sender.call.route.retained {
+            let is_stored =
+                self.proxy.store_turn(&self.call_sender.call, &self.chain, forwarded.output).await;
+            if !is_stored {
                 return;
             }
         }
         // The client may be gone.
-        pieces.send(Piece::End).await.ok();
+        chunks.send(Chunk::End).await.ok();
     }
 
     /// Passes events on until the endpoint's part ends.
-    async fn pass_on(&mut self, pieces: &mpsc::Sender<Piece>, passed: &mut Passed) -> End {
+    async fn forward(&mut self, chunks: &mpsc::Sender<Chunk>, forwarded: &mut Forwarded) -> StreamEnd {
         let mut splitter = Splitter::default();
-        let mut noted = Noted { events: passed.events, at: self.node.clock.now() };
+        let mut mark = ProgressMark { events: forwarded.events, at: self.proxy.clock.now() };
         let mut next = std::mem::take(&mut self.stream.first);
         loop {
             let events = splitter.push(&next);
             if splitter.is_overfull() {
-                return End::Broken;
+                return StreamEnd::Interrupted;
             }
-            passed.events += events.iter().filter(|event| event.data.is_some()).count() as u32;
-            self.note_progress(passed.events, &mut noted);
-            if !self.pass_events(events, pieces, passed).await {
-                return End::Abandoned;
+            forwarded.events += events.iter().filter(|event| event.data.is_some()).count() as u32;
+            self.note_progress(forwarded.events, &mut mark);
+            if !self.forward_events(events, chunks, forwarded).await {
+                return StreamEnd::ClientGone;
             }
-            let left = self.sending.call.deadline.since(self.node.clock.now());
-            let patience = self.silence().min(left);
+            let left = self.call_sender.call.deadline.since(self.proxy.clock.now());
+            let timeout = self.silence_timeout().min(left);
             let frame = tokio::select! {
-                frame = tokio::time::timeout(patience, self.stream.body.frame()) => frame,
-                () = pieces.closed() => return End::Abandoned,
+                frame = tokio::time::timeout(timeout, self.stream.body.frame()) => frame,
+                () = chunks.closed() => return StreamEnd::ClientGone,
             };
             next = match frame {
-                Err(_) if left <= patience => return End::TimedOut,
-                Err(_) => return End::Broken,
-                Ok(None) if splitter.is_empty() => return End::Whole,
-                Ok(None) | Ok(Some(Err(_))) => return End::Broken,
+                Err(_) if left <= timeout => return StreamEnd::TimedOut,
+                Err(_) => return StreamEnd::Interrupted,
+                Ok(None) if splitter.is_empty() => return StreamEnd::Complete,
+                Ok(None) | Ok(Some(Err(_))) => return StreamEnd::Interrupted,
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
             };
         }
     }
 
     /// Notes how fast events come, some at a time.
-    fn note_progress(&self, events: u32, noted: &mut Noted) {
-        let count = events - noted.events;
+    fn note_progress(&self, events: u32, mark: &mut ProgressMark) {
+        let count = events - mark.events;
         if count >= EVENTS_NOTED
-            && let Some(key) = self.sending.tried.last()
+            && let Some(key) = self.call_sender.attempted.last()
         {
-            let now = self.node.clock.now();
-            self.node.endpoints.borrow_mut().stream_went_on(now, *key, count, now.since(noted.at));
-            *noted = Noted { events, at: now };
+            let now = self.proxy.clock.now();
+            self.proxy.endpoints.borrow_mut().stream_went_on(now, *key, count, now.since(mark.at));
+            *mark = ProgressMark { events, at: now };
         }
     }
 
-    fn silence(&self) -> Duration {
-        let route = &self.sending.call.route;
+    fn silence_timeout(&self) -> Duration {
+        let route = &self.call_sender.call.route;
         if route.resumable && route.gap_aim_ms > 0 {
             Duration::from_millis(route.gap_aim_ms) * SILENCE_FACTOR
         } else {
@@ -166,8 +168,8 @@
         }
     }
 
-    async fn pass_events(
-        &self, events: Vec<Event>, pieces: &mpsc::Sender<Piece>, passed: &mut Passed,
+    async fn forward_events(
+        &self, events: Vec<Event>, chunks: &mpsc::Sender<Chunk>, forwarded: &mut Forwarded,
     ) -> bool {
         if events.is_empty() {
             return true;
@@ -177,26 +179,26 @@
             bytes.extend_from_slice(&event.bytes);
             if let Some(data) = &event.data {
                 if let Some(claim) = &self.claim {
-                    claim.deliver(self.sending.call.tokens_an_event());
+                    claim.add_delivered(self.call_sender.call.tokens_per_event());
                 }
-                if self.sending.call.route.retained {
-                    passed.output.extend_from_slice(data);
-                    passed.output.push(b'\n');
+                if self.call_sender.call.route.retained {
+                    forwarded.output.extend_from_slice(data);
+                    forwarded.output.push(b'\n');
                 }
             }
             if event.id.is_some() {
-                passed.last_event = event.id;
+                forwarded.last_event = event.id;
             }
         }
-        pieces.send(Piece::Bytes(bytes.into())).await.is_ok()
+        chunks.send(Chunk::Data(bytes.into())).await.is_ok()
     }
 }
 
 /// The answer to the client, whose body is fed by a task of its own.
-pub(super) fn begin(relay: Relay) -> ClientAnswer {
-    let (pieces, receiver) = mpsc::channel(PIECES_MAX);
-    let mut answer = hyper::Response::new(AnswerBody::Stream(receiver));
-    copy_head(&relay.stream.head, &mut answer);
-    tokio::task::spawn_local(relay.run(pieces));
-    answer
+pub(super) fn begin(relay: StreamRelay) -> ClientResponse {
+    let (chunks, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
+    let mut response = hyper::Response::new(ResponseBody::Stream(receiver));
+    copy_head(&relay.stream.head, &mut response);
+    tokio::task::spawn_local(relay.run(chunks));
+    response
 }
--- a/crates/onyxstile-system/src/role/proxy/target.rs
+++ b/crates/onyxstile-system/src/role/proxy/target.rs
@@ -2,45 +2,49 @@
 
 use std::time::Duration;
 
-use super::sending::Sending;
+use super::call_sender::CallSender;
 use crate::balance::{EndpointKey, Need};
 
 /// A call that may be repeated is given up at an endpoint after this many times the usual latency there.
 const SILENCE_FACTOR: f64 = 5.0;
 
-impl Sending {
+impl CallSender {
     /// Another endpoint if the route allows one more, else one of those that it was sent to.
-    pub(super) fn choose(&self) -> Option<EndpointKey> {
-        let node = &self.node;
-        let is_used_up = self.tried.len() >= self.call.route.max_attempts as usize;
-        let only = is_used_up.then_some(self.tried.as_slice());
+    pub(super) fn choose_endpoint(&self) -> Option<EndpointKey> {
+        let proxy = &self.proxy;
+        let attempts_used_up = self.attempted.len() >= self.call.route.max_attempts as usize;
+        let only = attempts_used_up.then_some(self.attempted.as_slice());
         let program = self.call.turn.as_ref().map(|turn| turn.program.as_str());
         let mut need = Need {
             service: &self.call.service,
             parts: &self.call.parts,
             program,
-            may_repeat: self.may_go_on(),
+            may_repeat: self.may_resend(),
             excluded: &self.failed,
             only,
         };
-        let endpoints = node.endpoints.borrow();
-        let (now, roll) = (node.clock.now(), node.roll());
-        endpoints.choose(now, &need, roll).or_else(|| {
+        let endpoints = proxy.endpoints.borrow();
+        let (now, fraction) = (proxy.clock.now(), proxy.random_fraction());
+        endpoints.choose(now, &need, fraction).or_else(|| {
             need.excluded = &[];
-            endpoints.choose(now, &need, roll)
+            endpoints.choose(now, &need, fraction)
         })
     }
 
     /// How long an endpoint may be silent: a call that can go elsewhere does not wait for its end.
-    pub(super) fn patience(&self, key: EndpointKey) -> Duration {
-        let left = self.call.left(self.node.clock.now());
-        let has_others = self.tried.len() + 1 < self.call.route.max_attempts as usize;
-        if !self.may_go_on() || !has_others {
+    pub(super) fn silence_timeout(&self, key: EndpointKey) -> Duration {
+        let left = self.call.remaining(self.proxy.clock.now());
+        let has_others = self.attempted.len() + 1 < self.call.route.max_attempts as usize;
+        if !self.may_resend() || !has_others {
             return left;
         }
-        let usual = self.node.endpoints.borrow().get(key).map_or(0.0, |endpoint| endpoint.latency_ms());
+        let usual = self.proxy.endpoints.borrow().get(key).map_or(0.0, |endpoint| endpoint.latency_ms());
         let usual = Duration::from_secs_f64(usual * SILENCE_FACTOR / 1000.0);
-        let aim = if self.call.is_stream() { self.call.aim() * 4 } else { self.call.aim() * 3 / 2 };
-        usual.max(aim).min(left)
+        let target = if self.call.is_stream() {
+            self.call.target_latency() * 4
+        } else {
+            self.call.target_latency() * 3 / 2
+        };
+        usual.max(target).min(left)
     }
 }
--- a/crates/onyxstile-system/src/role/proxy/no_turn.rs
+++ b/crates/onyxstile-system/src/role/proxy/turn_error.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 /// How long the storage machines have for what comes before a turn.
-pub(super) const BEFORE_PATIENCE: Duration = Duration::from_millis(1200);
+pub(super) const PREPARE_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// Why a turn can't run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum NoTurn {
+pub(super) enum TurnError {
     /// The budget is spent.
-    Spent,
+    BudgetSpent,
     /// There is no such turn to go on from.
-    NoPrevious,
+    PreviousNotFound,
     /// Too few storage machines answer to be sure.
-    Unsure,
+    Indeterminate,
 }
--- a/crates/onyxstile-system/src/role/proxy/upstream.rs
+++ b/crates/onyxstile-system/src/role/proxy/upstream.rs
@@ -18,9 +18,9 @@
 use crate::role::socket;
 
 /// A connection to an endpoint has to come up within this time; a full queue drops opening packets for seconds.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long a connection rests where the endpoint does not say.
-const IDLE_DEFAULT: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(4);
 /// A connection is given up this long before the endpoint would close it.
 const IDLE_MARGIN: Duration = Duration::from_millis(600);
 /// What an endpoint that has too many connections takes to reset a new one, beyond the way there and back.
@@ -28,15 +28,15 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-struct Idle {
+struct IdleConnection {
     sender: Sender,
     expires: Instant,
 }
 
 /// Connections at rest, by endpoint.
 #[derive(Default)]
-pub(super) struct Pools {
-    idle: RefCell<HashMap<EndpointKey, Vec<Idle>>>,
+pub(super) struct ConnectionPools {
+    idle: RefCell<HashMap<EndpointKey, Vec<IdleConnection>>>,
 }
 
 /// Why a request has no answer.
@@ -52,26 +52,26 @@
 pub(super) struct Checkout {
     pub key: EndpointKey,
     sender: Sender,
-    rests: Duration,
+    idle_time: Duration,
     /// How long it took to come up, if it is new.
     pub connected_in: Option<Duration>,
 }
 
 /// A connection that has come up.
-struct Opened {
+struct NewConnection {
     sender: Sender,
-    took: Duration,
+    connect_time: Duration,
 }
 
-impl Opened {
+impl NewConnection {
     /// Waits until a reset by an endpoint that has too many connections would be here; false if there was one.
-    async fn stays(&self) -> bool {
-        tokio::time::sleep(self.took + RESET_MARGIN).await;
+    async fn stays_open(&self) -> bool {
+        tokio::time::sleep(self.connect_time + RESET_MARGIN).await;
         !self.sender.is_closed()
     }
 }
 
-impl Pools {
+impl ConnectionPools {
     /// Sends a request and waits for the head of its answer. One that must not run twice goes out on a new connection only
     /// once the endpoint has kept that: what was sent on one that is reset may have run.
     pub(super) async fn send(
@@ -89,12 +89,12 @@
             }
         }
         let opened = open(address).await.map_err(SendError::NotSent)?;
-        if !is_repeatable && !opened.stays().await {
+        if !is_repeatable && !opened.stays_open().await {
             return Err(SendError::NotSent("the endpoint takes no more connections".into()));
         }
-        let Opened { mut sender, took } = opened;
+        let NewConnection { mut sender, connect_time } = opened;
         match sender.try_send_request(request).await {
-            Ok(response) => Ok(checked_out(key, sender, response, Some(took))),
+            Ok(response) => Ok(checked_out(key, sender, response, Some(connect_time))),
             Err(mut error) => {
                 let was_sent = error.take_message().is_none();
                 let reason = error.into_error().to_string();
@@ -113,16 +113,16 @@
     }
 
     /// Takes a connection back whose answer was read to its end, unless `most` are at rest already.
-    pub(super) fn give_back(&self, checkout: Checkout, most: usize) {
-        if checkout.sender.is_closed() || checkout.rests.is_zero() {
+    pub(super) fn return_connection(&self, checkout: Checkout, max_idle: usize) {
+        if checkout.sender.is_closed() || checkout.idle_time.is_zero() {
             return;
         }
-        let expires = Instant::now() + checkout.rests;
-        let idle = Idle { sender: checkout.sender, expires };
+        let expires = Instant::now() + checkout.idle_time;
+        let idle = IdleConnection { sender: checkout.sender, expires };
         let mut pools = self.idle.borrow_mut();
         let connections = pools.entry(checkout.key).or_default();
         connections.retain(|connection| connection.expires > Instant::now());
-        if connections.len() < most {
+        if connections.len() < max_idle {
             connections.push(idle);
         }
     }
@@ -136,27 +136,27 @@
 fn checked_out(
     key: EndpointKey, sender: Sender, response: Response<Incoming>, connected_in: Option<Duration>,
 ) -> (Response<Incoming>, Checkout) {
-    let rests = rest(response.headers());
-    (response, Checkout { key, sender, rests, connected_in })
+    let idle_time = idle_time_after(response.headers());
+    (response, Checkout { key, sender, idle_time, connected_in })
 }
 
 /// How long the connection may rest after this answer.
-fn rest(headers: &HeaderMap) -> Duration {
+fn idle_time_after(headers: &HeaderMap) -> Duration {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     if text("connection").is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
         return Duration::ZERO;
     }
-    let told = text("keep-alive").and_then(|value| {
+    let announced = text("keep-alive").and_then(|value| {
         let part = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
         part.trim().parse().ok()
     });
-    told.map_or(IDLE_DEFAULT, |seconds| Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN))
+    announced.map_or(DEFAULT_IDLE_TIME, |seconds| Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN))
 }
 
-async fn open(address: SocketAddrV4) -> Result<Opened, String> {
+async fn open(address: SocketAddrV4) -> Result<NewConnection, String> {
     let began = Instant::now();
-    let stream = socket::connect(address, CONNECT_PATIENCE).await.map_err(|error| error.to_string())?;
-    let took = began.elapsed();
+    let stream = socket::connect(address, CONNECT_TIMEOUT).await.map_err(|error| error.to_string())?;
+    let connect_time = began.elapsed();
     let (sender, connection) = Builder::new()
         .title_case_headers(true)
         .handshake(TokioIo::new(stream))
@@ -167,5 +167,5 @@
             log::debug!("connection to {address}: {error}");
         }
     });
-    Ok(Opened { sender, took })
+    Ok(NewConnection { sender, connect_time })
 }
--- a/crates/onyxstile-system/tests/answer_cut.rs
+++ b/crates/onyxstile-system/tests/answer_cut.rs
@@ -15,15 +15,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use support::gated_endpoint::{Endpoint, read_answer};
-use support::lone_proxy::{LARGE_BODY, LoneProxy, PAST_THE_END, TO_THE_CLOSE, configuration, terminate};
+use support::gated_endpoint::{GatedEndpoint, read_answer};
+use support::standalone_proxy::{
+    AFTER_SHUTDOWN, LARGE_BODY, StandaloneProxy, UNTIL_LISTENER_CLOSE, configuration, terminate,
+};
 use support::tier::{Tier, play};
 use support::virtual_time::{VirtualTime, settle};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 /// More than a connection on loopback holds that has no large buffers yet.
-const ANSWER: usize = 2_000_000;
+const RESPONSE_BYTES: usize = 2_000_000;
 
 fn request(id: &str, body: usize) -> Vec<u8> {
     let head = format!(
@@ -33,73 +35,76 @@
 }
 
 /// A client whose request is at the endpoint of a proxy.
-struct Asked {
+struct PendingRequest {
     time: VirtualTime,
-    endpoint: Rc<Endpoint>,
-    proxies: Vec<LoneProxy>,
+    endpoint: Rc<GatedEndpoint>,
+    proxies: Vec<StandaloneProxy>,
     client: TcpStream,
 }
 
-impl Asked {
+impl PendingRequest {
     /// The answer will have so many bytes, once the endpoint may answer.
-    async fn for_bytes(length: usize) -> Asked {
+    async fn with_response_of(length: usize) -> PendingRequest {
         let time = VirtualTime::stop();
-        let (endpoint, address) = Endpoint::listen(&vec![b'x'; length]).await;
-        let proxies = LoneProxy::start(1, &configuration(), address).await;
+        let (endpoint, address) = GatedEndpoint::listen(&vec![b'x'; length]).await;
+        let proxies = StandaloneProxy::start(1, &configuration(), address).await;
         let mut client = TcpStream::connect(proxies[0].front).await.expect("a connection");
         client.write_all(&request("r1", 0)).await.expect("it is sent");
-        endpoint.is_asked(&time).await;
-        Asked { time, endpoint, proxies, client }
+        endpoint.wait_for_request(&time).await;
+        PendingRequest { time, endpoint, proxies, client }
     }
 
     /// SIGTERM, and the time to the listener's close.
     async fn close_listener(&self) {
         terminate(&self.proxies).await;
-        self.time.pass(TO_THE_CLOSE).await;
+        self.time.pass(UNTIL_LISTENER_CLOSE).await;
     }
 }
 
 /// What comes of an answer of 2 MB if a second request with a body of so many bytes is sent behind the first.
-async fn answer_before_a_second_request(body: usize, is_drained: bool) -> (Option<u16>, usize) {
-    let mut asked = Asked::for_bytes(ANSWER).await;
-    asked.client.write_all(&request("r2", body)).await.expect("it is sent");
+async fn response_before_a_second_request(body: usize, is_drained: bool) -> (Option<u16>, usize) {
+    let mut pending = PendingRequest::with_response_of(RESPONSE_BYTES).await;
+    pending.client.write_all(&request("r2", body)).await.expect("it is sent");
     if is_drained {
-        asked.close_listener().await;
+        pending.close_listener().await;
     }
-    asked.endpoint.may_answer.send_replace(true);
+    pending.endpoint.may_respond.send_replace(true);
     settle().await;
-    read_answer(&mut asked.client).await
+    read_answer(&mut pending.client).await
 }
 
 #[test]
-fn an_answer_is_whole_at_a_drains_close_with_a_long_request_unread_behind_it() {
+fn response_is_complete_when_draining_with_a_long_unread_second_request() {
     play(async {
-        assert_eq!(answer_before_a_second_request(100_000, true).await, (Some(200), ANSWER));
+        assert_eq!(response_before_a_second_request(100_000, true).await, (Some(200), RESPONSE_BYTES));
     });
 }
 
 /// The second is over the limit of bodies, and the connection closes after its refusal.
 #[test]
-fn an_answer_is_whole_before_a_refused_request_whose_body_is_unread() {
+fn response_is_complete_before_a_refused_request_with_an_unread_body() {
     play(async {
-        let (status, length) = answer_before_a_second_request(100_000, false).await;
+        let (status, length) = response_before_a_second_request(100_000, false).await;
         assert_eq!(status, Some(200));
-        assert!(length > ANSWER, "{length} bytes: the first answer whole, and the refusal of the second");
+        assert!(
+            length > RESPONSE_BYTES,
+            "{length} bytes: the first answer whole, and the refusal of the second"
+        );
     });
 }
 
 /// Seen under a soak: a second request, sent before the answer to the first had been read, got none. The first answer had begun
 /// before the drain and could not say that the connection closes behind it.
 #[test]
-fn a_second_request_is_answered_behind_an_answer_that_had_begun_before_the_drain() {
+fn pipelined_request_is_answered_after_a_response_begun_before_the_drain() {
     play(async {
-        let mut asked = Asked::for_bytes(LARGE_BODY).await;
-        asked.endpoint.may_answer.send_replace(true);
-        asked.client.write_all(&request("r2", 4)).await.expect("it is sent");
+        let mut pending = PendingRequest::with_response_of(LARGE_BODY).await;
+        pending.endpoint.may_respond.send_replace(true);
+        pending.client.write_all(&request("r2", 4)).await.expect("it is sent");
         settle().await;
-        asked.close_listener().await;
+        pending.close_listener().await;
         let mut answers = Vec::new();
-        asked.client.read_to_end(&mut answers).await.expect("an orderly end");
+        pending.client.read_to_end(&mut answers).await.expect("an orderly end");
         let heads = answers.windows(9).filter(|bytes| bytes == b"HTTP/1.1 ").count();
         assert_eq!(heads, 2, "{} bytes came", answers.len());
     });
@@ -120,46 +125,46 @@
 }
 
 /// Bytes that no limit allows, and more than a connection reads ahead.
-const FAR_TOO_LONG: usize = 12_000_000;
+const OVERSIZED_BYTES: usize = 12_000_000;
 
 #[test]
-fn a_refusal_is_whole_while_the_refused_bytes_still_come() {
+fn refusal_is_complete_while_refused_bytes_are_still_arriving() {
     play(async {
         let tier = Tier::start("refused-bytes", &configuration(), &[]).await;
-        let endless_head = [b"GET /r/x HTTP/1.1\r\nX: ".to_vec(), vec![b'a'; FAR_TOO_LONG]].concat();
+        let endless_head = [b"GET /r/x HTTP/1.1\r\nX: ".to_vec(), vec![b'a'; OVERSIZED_BYTES]].concat();
         let no_route = b"POST /none HTTP/1.1\r\nHost: b.example\r\nContent-Length: 12000000\r\n\r\n";
         let heartbeat = b"PUT /api/instances/i-9 HTTP/1.1\r\nHost: a\r\nContent-Length: 12000000\r\n\r\n";
-        let with_body = |head: &[u8]| [head.to_vec(), vec![b'b'; FAR_TOO_LONG]].concat();
+        let with_body = |head: &[u8]| [head.to_vec(), vec![b'b'; OVERSIZED_BYTES]].concat();
         let cases = [
-            ("a body over the limit", tier.front(), request("r1", FAR_TOO_LONG), "413"),
+            ("a body over the limit", tier.front(), request("r1", OVERSIZED_BYTES), "413"),
             ("a body on no route", tier.front(), with_body(no_route), "404"),
             ("a head without end", tier.front(), endless_head.clone(), "431"),
             ("a heartbeat over the limit", tier.control(2), with_body(heartbeat), "413"),
             ("a head without end at the API", tier.control(3), endless_head, "431"),
         ];
-        for (what, to, sent, status) in cases {
+        for (case, to, sent, status) in cases {
             let stream = TcpStream::connect(to).await.expect("a connection");
-            let (answer, is_whole) = exchange(stream, sent).await;
-            let told = answer.split(' ').nth(1).unwrap_or_default();
-            assert_eq!((told, is_whole), (status, true), "{what}: {answer:?}");
+            let (answer, is_complete) = exchange(stream, sent).await;
+            let received_status = answer.split(' ').nth(1).unwrap_or_default();
+            assert_eq!((received_status, is_complete), (status, true), "{case}: {answer:?}");
         }
     });
 }
 
 /// Nobody waits for ever for a client that does not close: the process ends.
 #[test]
-fn a_client_that_never_closes_does_not_hold_up_a_drain_for_ever() {
+fn client_that_never_closes_does_not_block_the_drain_indefinitely() {
     play(async {
         let time = VirtualTime::stop();
-        let (_endpoint, address) = Endpoint::listen(b"").await;
-        let proxies = LoneProxy::start(1, &configuration(), address).await;
+        let (_endpoint, address) = GatedEndpoint::listen(b"").await;
+        let proxies = StandaloneProxy::start(1, &configuration(), address).await;
         let _client = TcpStream::connect(proxies[0].front).await.expect("a connection");
         settle().await;
         terminate(&proxies).await;
-        time.pass(TO_THE_CLOSE).await;
+        time.pass(UNTIL_LISTENER_CLOSE).await;
         let bound = Duration::from_secs(8);
-        time.pass(bound - TO_THE_CLOSE).await;
-        time.pass(PAST_THE_END).await;
+        time.pass(bound - UNTIL_LISTENER_CLOSE).await;
+        time.pass(AFTER_SHUTDOWN).await;
         assert!(proxies[0].has_ended());
     });
 }
--- a/crates/onyxstile-system/tests/bad_clients.rs
+++ b/crates/onyxstile-system/tests/bad_clients.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn what_is_no_request_is_answered_with_4xx_or_a_close() {
+fn malformed_requests_get_a_4xx_response_or_a_close() {
     play(async {
         let tier = Tier::start("no-request", &configuration(), &[]).await;
         let head = "POST /r/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: x\r\nDeadline-Ms: 300\r\n";
@@ -68,10 +68,10 @@
             ("a body that stops", format!("{head}Content-Length: 90\r\n\r\nabc").into_bytes(), &["408"]),
         ];
         for listener in [tier.front(), tier.control(2)] {
-            for (what, bytes, answers) in &cases[..if listener == tier.front() { 8 } else { 2 }] {
+            for (case, bytes, answers) in &cases[..if listener == tier.front() { 8 } else { 2 }] {
                 let answer = send(listener, bytes).await;
                 let status = answer.split(' ').nth(1).unwrap_or_default();
-                assert!(answers.contains(&status), "{listener}: {what}: {answer:?}");
+                assert!(answers.contains(&status), "{listener}: {case}: {answer:?}");
             }
         }
         assert!(is_served(tier.front()).await);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn hundreds_of_silent_connections_keep_nobody_from_being_served_and_are_closed() {
+fn silent_connections_do_not_block_other_clients_and_are_closed() {
     play(async {
         let tier = Tier::start("silent", &configuration(), &[]).await;
         let mut silent = Vec::new();
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_head_has_its_time_from_its_first_byte_and_a_rest_from_the_answers_end() {
+fn head_timeout_starts_at_first_byte_and_idle_timeout_at_response_end() {
     let bounds = Bounds { head: Duration::from_millis(300), rest: Duration::from_millis(1000) };
     let mut watch = Watch::new(at(0), bounds);
     assert_eq!(watch.ends(), Some((at(1000), Overdue::Rest)));
--- a/crates/onyxstile-system/tests/proxy_end.rs
+++ b/crates/onyxstile-system/tests/proxy_end.rs
@@ -18,9 +18,11 @@
 use std::net::TcpStream as StdStream;
 use std::time::Duration;
 
-use support::gated_endpoint::{Endpoint, read_answer};
+use support::gated_endpoint::{GatedEndpoint, read_answer};
 use support::listener::field;
-use support::lone_proxy::{LARGE_BODY, LoneProxy, PAST_THE_END, TO_THE_CLOSE, configuration, terminate};
+use support::standalone_proxy::{
+    AFTER_SHUTDOWN, LARGE_BODY, StandaloneProxy, UNTIL_LISTENER_CLOSE, configuration, terminate,
+};
 use support::tier::play;
 use support::virtual_time::{VirtualTime, settle};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -32,17 +34,17 @@
 const HEAD: &str = "POST /r/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r1\r\nContent-Length: 0\r\n";
 
 #[test]
-fn a_listener_closes_also_if_a_client_connects_in_the_turn_of_the_close() {
+fn listener_closes_when_a_client_connects_at_the_closing_time() {
     play(async {
         let time = VirtualTime::stop();
-        let (_endpoint, address) = Endpoint::listen(b"").await;
-        let proxies = LoneProxy::start(PROXIES, &configuration(), address).await;
+        let (_endpoint, address) = GatedEndpoint::listen(b"").await;
+        let proxies = StandaloneProxy::start(PROXIES, &configuration(), address).await;
         terminate(&proxies).await;
-        let connect = |proxy: &LoneProxy| StdStream::connect(proxy.front);
+        let connect = |proxy: &StandaloneProxy| StdStream::connect(proxy.front);
         // No turn of the runtime lies between these connections and the time to close.
         let _clients: Vec<_> =
             proxies.iter().map(|proxy| connect(proxy).expect("it still listens")).collect();
-        time.pass(TO_THE_CLOSE).await;
+        time.pass(UNTIL_LISTENER_CLOSE).await;
         let open = proxies.iter().filter(|proxy| !proxy.has_ended() && connect(proxy).is_ok()).count();
         assert_eq!(open, 0, "listeners that did not close, of {PROXIES}");
     });
@@ -50,19 +52,19 @@
 
 /// Found by reading, in the same class: what waited to be taken up at the close was reset, with its request unread.
 #[test]
-fn a_request_that_waits_in_the_listeners_queue_at_the_close_is_answered() {
+fn request_in_the_listen_queue_at_closing_time_is_answered() {
     play(async {
         let time = VirtualTime::stop();
-        let (endpoint, address) = Endpoint::listen(b"whole").await;
-        endpoint.may_answer.send_replace(true);
-        let proxies = LoneProxy::start(PROXIES, &configuration(), address).await;
+        let (endpoint, address) = GatedEndpoint::listen(b"whole").await;
+        endpoint.may_respond.send_replace(true);
+        let proxies = StandaloneProxy::start(PROXIES, &configuration(), address).await;
         terminate(&proxies).await;
-        let whole = format!("{HEAD}Deadline-Ms: 4000\r\n\r\n");
+        let request = format!("{HEAD}Deadline-Ms: 4000\r\n\r\n");
         // No turn of the runtime lies between these requests and the time to close.
-        let clients: Vec<_> = proxies.iter().map(|proxy| send_now(proxy, &whole)).collect();
-        time.pass(TO_THE_CLOSE).await;
+        let clients: Vec<_> = proxies.iter().map(|proxy| send_blocking(proxy, &request)).collect();
+        time.pass(UNTIL_LISTENER_CLOSE).await;
         // A new connection to an endpoint is looked at for some ms.
-        time.pass(PAST_THE_END).await;
+        time.pass(AFTER_SHUTDOWN).await;
         let mut unanswered = 0;
         for client in clients {
             let mut client = TcpStream::from_std(client).expect("a connection");
@@ -72,7 +74,7 @@
     });
 }
 
-fn send_now(proxy: &LoneProxy, request: &str) -> StdStream {
+fn send_blocking(proxy: &StandaloneProxy, request: &str) -> StdStream {
     let mut client = StdStream::connect(proxy.front).expect("it still listens");
     client.write_all(request.as_bytes()).expect("it is sent");
     client.set_nonblocking(true).expect("it is set");
@@ -80,81 +82,82 @@
 }
 
 #[test]
-fn a_head_that_has_come_in_part_at_the_close_is_answered_before_the_end() {
+fn partially_received_head_at_closing_time_is_answered_before_exit() {
     play(async {
         let time = VirtualTime::stop();
-        let (endpoint, address) = Endpoint::listen(b"whole").await;
-        let proxies = LoneProxy::start(1, &configuration(), address).await;
+        let (endpoint, address) = GatedEndpoint::listen(b"whole").await;
+        let proxies = StandaloneProxy::start(1, &configuration(), address).await;
         let mut client = TcpStream::connect(proxies[0].front).await.expect("a connection");
         // The process has 4.995 s left at the close.
         client.write_all(format!("{HEAD}Deadline-Ms: 4000\r\n").as_bytes()).await.expect("it is sent");
         settle().await;
         terminate(&proxies).await;
-        time.pass(TO_THE_CLOSE).await;
+        time.pass(UNTIL_LISTENER_CLOSE).await;
         client.write_all(b"\r\n").await.expect("it is sent");
-        endpoint.is_asked(&time).await;
-        time.pass(PAST_THE_END).await;
-        endpoint.may_answer.send_replace(true);
+        endpoint.wait_for_request(&time).await;
+        time.pass(AFTER_SHUTDOWN).await;
+        endpoint.may_respond.send_replace(true);
         assert_eq!(read_answer(&mut client).await, (Some(200), 5));
         // What the client may still send behind its answer counts as open until it closes as well (tests/answer_cut.rs).
         drop(client);
         settle().await;
-        time.pass(PAST_THE_END).await;
+        time.pass(AFTER_SHUTDOWN).await;
         assert!(proxies[0].has_ended(), "nothing is left to be answered");
     });
 }
 
 /// It has 60 s, the process 5 s: whoever can't be served to the end is told at once, and the endpoint is not asked.
 #[test]
-fn a_request_that_outlasts_the_end_is_told_to_come_back() {
+fn request_that_outlasts_the_shutdown_gets_a_retry_after() {
     play(async {
         let time = VirtualTime::stop();
-        let (endpoint, address) = Endpoint::listen(b"whole").await;
-        let proxies = LoneProxy::start(1, &configuration().replace("5000", "60000"), address).await;
+        let (endpoint, address) = GatedEndpoint::listen(b"whole").await;
+        let proxies = StandaloneProxy::start(1, &configuration().replace("5000", "60000"), address).await;
         let mut client = TcpStream::connect(proxies[0].front).await.expect("a connection");
         client.write_all(format!("{HEAD}Deadline-Ms: 60000\r\n").as_bytes()).await.expect("it is sent");
         settle().await;
         terminate(&proxies).await;
-        time.pass(TO_THE_CLOSE).await;
+        time.pass(UNTIL_LISTENER_CLOSE).await;
         client.write_all(b"\r\n").await.expect("it is sent");
         let mut answer = String::new();
         client.read_to_string(&mut answer).await.expect("an answer");
         assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
         assert_eq!(field(&answer, "retry-after").as_deref(), Some("0.25"));
-        assert_eq!(endpoint.asked.get(), 0);
+        assert_eq!(endpoint.requests.get(), 0);
     });
 }
 
 #[test]
-fn an_answer_whose_bytes_wait_for_a_slow_client_is_sent_before_the_end() {
+fn response_queued_for_a_slow_client_is_sent_before_exit() {
     play(async {
         let time = VirtualTime::stop();
-        let (endpoint, address) = Endpoint::listen(&vec![b'x'; LARGE_BODY]).await;
-        let proxies = LoneProxy::start(1, &configuration(), address).await;
+        let (endpoint, address) = GatedEndpoint::listen(&vec![b'x'; LARGE_BODY]).await;
+        let proxies = StandaloneProxy::start(1, &configuration(), address).await;
         let mut client = TcpStream::connect(proxies[0].front).await.expect("a connection");
         client.write_all(format!("{HEAD}Connection: close\r\n\r\n").as_bytes()).await.expect("it is sent");
-        endpoint.is_asked(&time).await;
-        endpoint.may_answer.send_replace(true);
+        endpoint.wait_for_request(&time).await;
+        endpoint.may_respond.send_replace(true);
         let mut first = [0; 1];
         client.read_exact(&mut first).await.expect("the answer begins");
         terminate(&proxies).await;
-        time.pass(TO_THE_CLOSE).await;
-        time.pass(PAST_THE_END).await;
+        time.pass(UNTIL_LISTENER_CLOSE).await;
+        time.pass(AFTER_SHUTDOWN).await;
         assert_eq!(read_answer(&mut client).await.1, LARGE_BODY);
     });
 }
 
 /// The grace of the settings (8 s) less what is kept for the last bytes (0.4 s).
-const THE_KILL_IS_NEAR: Duration = Duration::from_millis(7600);
+const UNTIL_FLUSH_TIME: Duration = Duration::from_millis(7600);
 
 /// A way that was looked at and is sound: a head that ends after the kill is near is taken, and refused in the same turn.
 #[test]
-fn a_head_that_ends_in_the_last_ms_of_a_process_is_refused_before_it_is_gone() {
+fn head_completed_in_the_last_milliseconds_is_refused_before_exit() {
     play(async {
         let time = VirtualTime::stop();
-        let (endpoint, address) = Endpoint::listen(b"whole").await;
-        let patient = configuration().replace(r#""header_timeout_ms":3000"#, r#""header_timeout_ms":30000"#);
-        let proxies = LoneProxy::start(1, &patient, address).await;
+        let (endpoint, address) = GatedEndpoint::listen(b"whole").await;
+        let long_header_timeout =
+            configuration().replace(r#""header_timeout_ms":3000"#, r#""header_timeout_ms":30000"#);
+        let proxies = StandaloneProxy::start(1, &long_header_timeout, address).await;
         let mut clients = Vec::new();
         for _ in 0..60 {
             let mut client = TcpStream::connect(proxies[0].front).await.expect("a connection");
@@ -163,8 +166,8 @@
         }
         settle().await;
         terminate(&proxies).await;
-        time.pass(TO_THE_CLOSE).await;
-        time.pass(THE_KILL_IS_NEAR - TO_THE_CLOSE).await;
+        time.pass(UNTIL_LISTENER_CLOSE).await;
+        time.pass(UNTIL_FLUSH_TIME - UNTIL_LISTENER_CLOSE).await;
         let mut answered = 0;
         for mut client in clients {
             client.write_all(b"\r\n").await.expect("it is sent");
@@ -177,6 +180,6 @@
             time.pass(Duration::from_millis(1)).await;
         }
         assert!(answered >= 50, "the process lives on for some 80 ms: {answered}");
-        assert_eq!(endpoint.asked.get(), 0);
+        assert_eq!(endpoint.requests.get(), 0);
     });
 }
--- a/crates/onyxstile-system/tests/requests.rs
+++ b/crates/onyxstile-system/tests/requests.rs
@@ -17,7 +17,7 @@
 
 /// What an endpoint does with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Manner {
+enum Behaviour {
     /// Answers well.
     Answers,
     /// Answers well if it is asked for no version of weights; else it says that it has another.
@@ -31,24 +31,24 @@
 /// An endpoint, and what reached it.
 struct Endpoint {
     name: &'static str,
-    manner: Manner,
+    behaviour: Behaviour,
     /// The heads of all requests.
     heads: RefCell<Vec<String>>,
     /// Requests that have come.
-    asked: Cell<usize>,
+    request_count: Cell<usize>,
     /// Requests whose caller left without an answer.
-    left: Cell<usize>,
+    disconnected: Cell<usize>,
     changed: Notify,
 }
 
 impl Endpoint {
-    fn new(name: &'static str, manner: Manner) -> Rc<Endpoint> {
+    fn new(name: &'static str, behaviour: Behaviour) -> Rc<Endpoint> {
         Rc::new(Endpoint {
             name,
-            manner,
+            behaviour,
             heads: RefCell::default(),
-            asked: Cell::new(0),
-            left: Cell::new(0),
+            request_count: Cell::new(0),
+            disconnected: Cell::new(0),
             changed: Notify::new(),
         })
     }
@@ -62,26 +62,26 @@
         let mut buffer = Vec::new();
         while let Some(head) = read_head(&mut stream, &mut buffer).await {
             let id = field(&head, "request-id").unwrap_or_default();
-            let asks_for_version = field(&head, "expect-version").is_some();
+            let expects_version = field(&head, "expect-version").is_some();
             self.heads.borrow_mut().push(head);
-            self.asked.set(self.asked.get() + 1);
+            self.request_count.set(self.request_count.get() + 1);
             self.changed.notify_one();
             let refused = |status: &str| {
                 format!(
                     "HTTP/1.1 {status}\r\nRequest-Id: {id}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
                 )
             };
-            let answer = match self.manner {
-                Manner::Silent => {
+            let answer = match self.behaviour {
+                Behaviour::Silent => {
                     // Nothing more is due before the answer.
                     stream.read_buf(&mut buffer).await.ok();
-                    self.left.set(self.left.get() + 1);
+                    self.disconnected.set(self.disconnected.get() + 1);
                     self.changed.notify_one();
                     return;
                 }
-                Manner::Refuses => refused("503 Full"),
-                Manner::HasOtherVersion if asks_for_version => refused("421 Other version"),
-                Manner::Answers | Manner::HasOtherVersion => format!(
+                Behaviour::Refuses => refused("503 Full"),
+                Behaviour::HasOtherVersion if expects_version => refused("421 Other version"),
+                Behaviour::Answers | Behaviour::HasOtherVersion => format!(
                     "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Seal: {}\r\nContent-Length: 2\r\n\r\nok",
                     self.name
                 ),
@@ -106,8 +106,8 @@
     }
 
     /// Waits until so many requests have come and as many of their callers as `left` have gone.
-    async fn until(&self, count: usize, left: usize) {
-        while self.count() < count || self.left.get() < left {
+    async fn wait_until_reached(&self, count: usize, disconnected: usize) {
+        while self.count() < count || self.disconnected.get() < disconnected {
             self.changed.notified().await;
         }
     }
@@ -160,9 +160,9 @@
 
 /// BUDGET: endpoints are handed no more time than is left, whether the call goes out for the first time or again.
 #[test]
-fn an_endpoint_is_handed_no_more_time_than_the_client_has_left() {
+fn forwarded_deadline_never_exceeds_the_clients_remaining_time() {
     play(async {
-        let endpoints = [Endpoint::new("i-1", Manner::Refuses), Endpoint::new("i-2", Manner::Refuses)];
+        let endpoints = [Endpoint::new("i-1", Behaviour::Refuses), Endpoint::new("i-2", Behaviour::Refuses)];
         let tier = tier("deadline", &endpoints).await;
         for round in 0..2 {
             let before: usize = endpoints.iter().map(|endpoint| endpoint.count()).sum();
@@ -180,9 +180,9 @@
 }
 
 #[test]
-fn a_request_without_a_deadline_is_handed_on_with_one() {
+fn request_without_a_deadline_is_forwarded_with_one() {
     play(async {
-        let endpoint = Endpoint::new("i-1", Manner::Answers);
+        let endpoint = Endpoint::new("i-1", Behaviour::Answers);
         let tier = tier("no-deadline", std::slice::from_ref(&endpoint)).await;
         assert_eq!(get(&tier, "/plain/x", "r1", &[]).await.status, 200);
         assert!(endpoint.deadlines().iter().all(|deadline| *deadline > 0));
@@ -191,21 +191,21 @@
 
 /// GONE: an endpoint does not go on working for a client that has left.
 #[test]
-fn a_client_that_leaves_ends_the_work_at_the_endpoint() {
+fn client_disconnect_cancels_the_work_at_the_endpoint() {
     play(async {
-        let endpoint = Endpoint::new("i-1", Manner::Silent);
+        let endpoint = Endpoint::new("i-1", Behaviour::Silent);
         let tier = tier("gone", std::slice::from_ref(&endpoint)).await;
         // What reached the endpoint before is over.
-        let before = endpoint.asked.get();
-        endpoint.until(0, before).await;
+        let before = endpoint.request_count.get();
+        endpoint.wait_until_reached(0, before).await;
         let mut client = TcpStream::connect(tier.front()).await.expect("a connection");
         let request =
             "GET /plain/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: r1\r\nDeadline-Ms: 30000\r\n\r\n";
         client.write_all(request.as_bytes()).await.expect("it is sent");
-        endpoint.until(1, before).await;
+        endpoint.wait_until_reached(1, before).await;
         let began = Instant::now();
         drop(client);
-        endpoint.until(1, before + 1).await;
+        endpoint.wait_until_reached(1, before + 1).await;
         assert!(
             began.elapsed() < Duration::from_millis(1500),
             "the route allows it 3 s: {:?}",
@@ -216,9 +216,9 @@
 
 /// CONFIG: no answer comes much later than the route's time-out, whatever the client would wait.
 #[test]
-fn a_silent_endpoint_is_answered_for_when_the_routes_time_is_over() {
+fn silent_endpoint_is_answered_with_an_error_at_the_route_timeout() {
     play(async {
-        let endpoint = Endpoint::new("i-1", Manner::Silent);
+        let endpoint = Endpoint::new("i-1", Behaviour::Silent);
         let tier = tier("short", std::slice::from_ref(&endpoint)).await;
         let began = Instant::now();
         let answer = get(&tier, "/short/x", "r1", &[("deadline-ms", "20000")]).await;
@@ -229,17 +229,17 @@
 
 /// Duty: each part of a `traffic_split` gets its share; a session stays with its part.
 #[test]
-fn parts_of_a_split_route_get_their_shares() {
+fn services_of_a_split_route_get_their_shares() {
     play(async {
-        let one = Endpoint::new("i-1", Manner::Answers);
-        let other = Endpoint::new("i-2", Manner::Answers);
+        let one = Endpoint::new("i-1", Behaviour::Answers);
+        let other = Endpoint::new("i-2", Behaviour::Answers);
         let listed = [("i-1", "api", one.listen().await), ("i-2", "other", other.listen().await)];
         let tier = Tier::start("split", &configuration(), &listed).await;
         while one.count() == 0 || other.count() == 0 {
             get(&tier, "/split/x", "first", &[("deadline-ms", "300")]).await;
         }
         let mut parts: BTreeMap<String, u32> = BTreeMap::new();
-        let mut homes: BTreeMap<String, String> = BTreeMap::new();
+        let mut affinity: BTreeMap<String, String> = BTreeMap::new();
         for number in 0..400 {
             let session = format!("s{}", number % 40);
             let is_session = number >= 200;
@@ -249,7 +249,7 @@
             let seal = answer.headers["response-seal"].to_str().expect("text").to_owned();
             if is_session {
                 assert_eq!(
-                    *homes.entry(session).or_insert_with(|| seal.clone()),
+                    *affinity.entry(session).or_insert_with(|| seal.clone()),
                     seal,
                     "a session has moved"
                 );
@@ -265,7 +265,7 @@
 
 /// DENIED: a proxy that knows no configuration yet does not say that there is no such route.
 #[test]
-fn a_proxy_without_a_configuration_says_when_to_come_back() {
+fn proxy_without_a_configuration_sends_retry_after() {
     play(async {
         let tier = Tier::start_proxy_alone("alone").await;
         let answer = loop {
@@ -283,9 +283,9 @@
 
 /// An endpoint with other weights than a client asks for is no endpoint that has gone: it took no call any more.
 #[test]
-fn an_endpoint_that_has_other_weights_is_still_an_endpoint() {
+fn endpoint_with_another_weights_version_stays_usable() {
     play(async {
-        let endpoint = Endpoint::new("i-1", Manner::HasOtherVersion);
+        let endpoint = Endpoint::new("i-1", Behaviour::HasOtherVersion);
         let tier = tier("version", std::slice::from_ref(&endpoint)).await;
         for round in 0..3 {
             let wanted = [("deadline-ms", "400"), ("expect-version", "7")];
--- a/crates/onyxstile-system/tests/support/gated_endpoint.rs
+++ b/crates/onyxstile-system/tests/support/gated_endpoint.rs
@@ -13,32 +13,36 @@
 use super::virtual_time::VirtualTime;
 
 /// An endpoint that answers once it may.
-pub struct Endpoint {
+pub struct GatedEndpoint {
     /// Requests that have come.
-    pub asked: Cell<usize>,
+    pub requests: Cell<usize>,
     /// Whether it may answer.
-    pub may_answer: watch::Sender<bool>,
+    pub may_respond: watch::Sender<bool>,
     body: RefCell<Vec<u8>>,
 }
 
-impl Endpoint {
+impl GatedEndpoint {
     /// Listens; its answers have this body.
-    pub async fn listen(body: &[u8]) -> (Rc<Endpoint>, SocketAddrV4) {
-        let endpoint = Rc::new(Endpoint {
-            asked: Cell::new(0),
-            may_answer: watch::Sender::new(false),
+    pub async fn listen(body: &[u8]) -> (Rc<GatedEndpoint>, SocketAddrV4) {
+        let endpoint = Rc::new(GatedEndpoint {
+            requests: Cell::new(0),
+            may_respond: watch::Sender::new(false),
             body: RefCell::new(body.to_vec()),
         });
-        let serving = endpoint.clone();
-        (endpoint, listen(move |stream| serving.clone().serve(stream)).await)
+        let endpoint_for_connections = endpoint.clone();
+        (endpoint, listen(move |stream| endpoint_for_connections.clone().serve(stream)).await)
     }
 
-    async fn serve(self: Rc<Endpoint>, mut stream: TcpStream) {
+    async fn serve(self: Rc<GatedEndpoint>, mut stream: TcpStream) {
         let mut buffer = Vec::new();
         while let Some(head) = read_head(&mut stream, &mut buffer).await {
             let id = field(&head, "request-id").unwrap_or_default();
-            self.asked.set(self.asked.get() + 1);
-            self.may_answer.subscribe().wait_for(|may| *may).await.expect("the test goes on");
+            self.requests.set(self.requests.get() + 1);
+            self.may_respond
+                .subscribe()
+                .wait_for(|may_respond| *may_respond)
+                .await
+                .expect("the test goes on");
             let body = self.body.borrow().clone();
             let head = format!(
                 "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Seal: s\r\nContent-Length: {}\r\n\r\n",
@@ -52,9 +56,9 @@
     }
 
     /// Waits for a request; it comes within some ms.
-    pub async fn is_asked(&self, time: &VirtualTime) {
+    pub async fn wait_for_request(&self, time: &VirtualTime) {
         for _ in 0..20 {
-            if self.asked.get() > 0 {
+            if self.requests.get() > 0 {
                 return;
             }
             time.pass(Duration::from_millis(1)).await;
--- a/crates/onyxstile-system/tests/support/lone_proxy.rs
+++ b/crates/onyxstile-system/tests/support/standalone_proxy.rs
@@ -18,9 +18,9 @@
 use super::tier::{self, LIMITS, ask, ask_until, free_ports, settings, start_process};
 
 /// Longer than a proxy takes clients after SIGTERM (2.6 s).
-pub const TO_THE_CLOSE: Duration = Duration::from_millis(2605);
+pub const UNTIL_LISTENER_CLOSE: Duration = Duration::from_millis(2605);
 /// Longer than a proxy rests at its end.
-pub const PAST_THE_END: Duration = Duration::from_millis(200);
+pub const AFTER_SHUTDOWN: Duration = Duration::from_millis(200);
 /// More than all buffers of a connection on loopback hold.
 pub const LARGE_BODY: usize = 32 << 20;
 
@@ -33,10 +33,10 @@
 }
 
 /// How long a proxy may take to answer the agent.
-const PATIENCE: Duration = Duration::from_secs(10);
+const FEED_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// One proxy.
-pub struct LoneProxy {
+pub struct StandaloneProxy {
     /// Where clients connect.
     pub front: SocketAddrV4,
     readiness: SocketAddrV4,
@@ -44,24 +44,24 @@
     process: JoinHandle<()>,
 }
 
-impl LoneProxy {
+impl StandaloneProxy {
     /// Starts so many proxies that know a configuration and one endpoint of its service `api`; all are ready.
-    pub async fn start(count: u16, configuration: &str, endpoint: SocketAddrV4) -> Vec<LoneProxy> {
+    pub async fn start(count: u16, configuration: &str, endpoint: SocketAddrV4) -> Vec<StandaloneProxy> {
         let folder = std::env::temp_dir();
         let mut proxies = Vec::new();
         for ports in free_ports(count) {
             let settings = settings(&ports, Path::new(&folder), "edge-1", 1, "edge");
-            proxies.push(LoneProxy::run(Settings { metrics: None, ..settings }));
+            proxies.push(StandaloneProxy::run(Settings { metrics: None, ..settings }));
         }
         for proxy in &proxies {
-            proxy.tell(configuration, endpoint).await;
+            proxy.send_feed(configuration, endpoint).await;
             ask_until(200, proxy.readiness, "GET", "/api/readyz", &[], "").await;
         }
         proxies
     }
 
-    fn run(settings: Settings) -> LoneProxy {
-        LoneProxy {
+    fn run(settings: Settings) -> StandaloneProxy {
+        StandaloneProxy {
             front: settings.listen.front.expect("an address"),
             readiness: settings.listen.readiness.expect("an address"),
             feed: settings.feed_address(),
@@ -71,7 +71,7 @@
         }
     }
 
-    async fn tell(&self, configuration: &str, endpoint: SocketAddrV4) {
+    async fn send_feed(&self, configuration: &str, endpoint: SocketAddrV4) {
         let stored = StoredConfiguration { revision: 1, body: configuration.as_bytes().to_vec() };
         let state = Published {
             sequence: 1,
@@ -91,7 +91,7 @@
         };
         let feed = Feed { state: Some(state), endpoints: vec![instance], is_fresh: true, ..Feed::default() };
         let client = Client::default();
-        while client.call(self.feed, &Request::Feed(feed.clone()), PATIENCE).await.is_err() {
+        while client.call(self.feed, &Request::Feed(feed.clone()), FEED_TIMEOUT).await.is_err() {
             tokio::task::yield_now().await;
         }
     }
@@ -103,7 +103,7 @@
 }
 
 /// Sends SIGTERM, which all proxies of this process hear, and waits until none calls itself ready.
-pub async fn terminate(proxies: &[LoneProxy]) {
+pub async fn terminate(proxies: &[StandaloneProxy]) {
     tier::terminate();
     for proxy in proxies {
         while ask(proxy.readiness, "GET", "/api/readyz", &[], "").await.expect("an answer").status != 503 {
