--- a/crates/onyxstile-system/src/role/proxy/chain.rs
+++ b/crates/onyxstile-system/src/role/proxy/chain.rs
@@ -153,12 +153,12 @@
         let mut responses =
             self.request_members(id, Request::GetTurns { epoch, ids: vec![id.to_owned()] }, timeout);
         while let Some((member, response)) = responses.next().await {
-            let Response::Turns { turns, is_sure } = response else { continue };
+            let Response::Turns { turns, is_conclusive } = response else { continue };
             if let Some(turn) = turns.into_iter().flatten().next() {
                 self.turns.borrow_mut().insert(turn.clone());
                 return Ok(turn);
             }
-            if is_sure && responses.count(member, Response::Done) {
+            if is_conclusive && responses.count(member, Response::Done) {
                 log::debug!("turn {id} is known nowhere");
                 return Err(TurnError::PreviousNotFound);
             }
--- a/crates/onyxstile-system/src/role/proxy/feed.rs
+++ b/crates/onyxstile-system/src/role/proxy/feed.rs
@@ -5,7 +5,7 @@
 use super::{DestinationKey, Proxy};
 use crate::configuration;
 use crate::role::rpc::Answer;
-use crate::wire::{Feed, Published, Request, Response};
+use crate::wire::{Feed, PublishedState, Request, Response};
 
 impl Proxy {
     /// Answers the agent.
@@ -13,8 +13,8 @@
         let response = match request {
             Request::Feed(feed) => {
                 self.apply_feed(feed);
-                Response::Fed {
-                    life: self.incarnation,
+                Response::FeedAccepted {
+                    incarnation: self.incarnation,
                     evidence: self.endpoints.borrow().evidence(self.clock.now()),
                 }
             }
@@ -51,7 +51,7 @@
         }
     }
 
-    fn apply_state(&self, published: Published) {
+    fn apply_state(&self, published: PublishedState) {
         if published.sequence <= self.sequence.get() {
             return;
         }
--- a/crates/onyxstile-system/src/role/proxy/metric_values.rs
+++ b/crates/onyxstile-system/src/role/proxy/metric_values.rs
@@ -1,19 +1,19 @@
 //! What a proxy tells of itself in figures.
 
 use super::Proxy;
-use crate::figures::Figures;
+use crate::metrics::Metrics;
 
 impl Proxy {
     /// The figures of this moment.
-    pub(super) fn metric_values(&self) -> Figures {
-        let mut metrics = Figures::default();
+    pub(super) fn metric_values(&self) -> Metrics {
+        let mut metrics = Metrics::default();
         self.add_phase_metrics(&mut metrics);
         self.add_request_metrics(&mut metrics);
         self.add_service_metrics(&mut metrics);
         metrics
     }
 
-    fn add_phase_metrics(&self, metrics: &mut Figures) {
+    fn add_phase_metrics(&self, metrics: &mut Metrics) {
         metrics.flag("ready", "Whether the proxy calls itself ready.", self.phase.is_ready());
         let help = "Time from the start until it was ready; -1 before.";
         metrics.time_taken("ready_after_seconds", help, self.phase.ready_after());
@@ -24,7 +24,7 @@
         metrics.gauge("storage_epoch", "Number of the storage plan that it goes by.", epoch as f64);
     }
 
-    fn add_request_metrics(&self, metrics: &mut Figures) {
+    fn add_request_metrics(&self, metrics: &mut Metrics) {
         metrics.gauge(
             "requests_open",
             "Requests that are being answered.",
@@ -44,7 +44,7 @@
         metrics.counters("refusals", help, "cause", &self.counts.refusals());
     }
 
-    fn add_service_metrics(&self, metrics: &mut Figures) {
+    fn add_service_metrics(&self, metrics: &mut Metrics) {
         let now = self.clock.now();
         let endpoints = self.endpoints.borrow();
         let services = endpoints.services();
--- a/crates/onyxstile-system/src/role/proxy/relay_stream.rs
+++ b/crates/onyxstile-system/src/role/proxy/relay_stream.rs
@@ -161,8 +161,8 @@
 
     fn silence_timeout(&self) -> Duration {
         let route = &self.call_sender.call.route;
-        if route.resumable && route.gap_aim_ms > 0 {
-            Duration::from_millis(route.gap_aim_ms) * SILENCE_FACTOR
+        if route.resumable && route.target_gap_ms > 0 {
+            Duration::from_millis(route.target_gap_ms) * SILENCE_FACTOR
         } else {
             Duration::MAX
         }
--- a/crates/onyxstile-system/tests/answer_cut.rs
+++ b/crates/onyxstile-system/tests/answer_cut.rs
@@ -20,7 +20,7 @@
     AFTER_SHUTDOWN, LARGE_BODY, StandaloneProxy, UNTIL_LISTENER_CLOSE, configuration, terminate,
 };
 use support::tier::{Tier, play};
-use support::virtual_time::{VirtualTime, settle};
+use support::virtual_time::{VirtualTime, run_ready_tasks};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -57,7 +57,7 @@
     /// SIGTERM, and the time to the listener's close.
     async fn close_listener(&self) {
         terminate(&self.proxies).await;
-        self.time.pass(UNTIL_LISTENER_CLOSE).await;
+        self.time.advance(UNTIL_LISTENER_CLOSE).await;
     }
 }
 
@@ -69,7 +69,7 @@
         pending.close_listener().await;
     }
     pending.endpoint.may_respond.send_replace(true);
-    settle().await;
+    run_ready_tasks().await;
     read_answer(&mut pending.client).await
 }
 
@@ -101,7 +101,7 @@
         let mut pending = PendingRequest::with_response_of(LARGE_BODY).await;
         pending.endpoint.may_respond.send_replace(true);
         pending.client.write_all(&request("r2", 4)).await.expect("it is sent");
-        settle().await;
+        run_ready_tasks().await;
         pending.close_listener().await;
         let mut answers = Vec::new();
         pending.client.read_to_end(&mut answers).await.expect("an orderly end");
@@ -159,12 +159,12 @@
         let (_endpoint, address) = GatedEndpoint::listen(b"").await;
         let proxies = StandaloneProxy::start(1, &configuration(), address).await;
         let _client = TcpStream::connect(proxies[0].front).await.expect("a connection");
-        settle().await;
+        run_ready_tasks().await;
         terminate(&proxies).await;
-        time.pass(UNTIL_LISTENER_CLOSE).await;
+        time.advance(UNTIL_LISTENER_CLOSE).await;
         let bound = Duration::from_secs(8);
-        time.pass(bound - UNTIL_LISTENER_CLOSE).await;
-        time.pass(AFTER_SHUTDOWN).await;
+        time.advance(bound - UNTIL_LISTENER_CLOSE).await;
+        time.advance(AFTER_SHUTDOWN).await;
         assert!(proxies[0].has_ended());
     });
 }
--- a/crates/onyxstile-system/tests/proxy_end.rs
+++ b/crates/onyxstile-system/tests/proxy_end.rs
@@ -24,7 +24,7 @@
     AFTER_SHUTDOWN, LARGE_BODY, StandaloneProxy, UNTIL_LISTENER_CLOSE, configuration, terminate,
 };
 use support::tier::play;
-use support::virtual_time::{VirtualTime, settle};
+use support::virtual_time::{VirtualTime, run_ready_tasks};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -44,7 +44,7 @@
         // No turn of the runtime lies between these connections and the time to close.
         let _clients: Vec<_> =
             proxies.iter().map(|proxy| connect(proxy).expect("it still listens")).collect();
-        time.pass(UNTIL_LISTENER_CLOSE).await;
+        time.advance(UNTIL_LISTENER_CLOSE).await;
         let open = proxies.iter().filter(|proxy| !proxy.has_ended() && connect(proxy).is_ok()).count();
         assert_eq!(open, 0, "listeners that did not close, of {PROXIES}");
     });
@@ -62,9 +62,9 @@
         let request = format!("{HEAD}Deadline-Ms: 4000\r\n\r\n");
         // No turn of the runtime lies between these requests and the time to close.
         let clients: Vec<_> = proxies.iter().map(|proxy| send_blocking(proxy, &request)).collect();
-        time.pass(UNTIL_LISTENER_CLOSE).await;
+        time.advance(UNTIL_LISTENER_CLOSE).await;
         // A new connection to an endpoint is looked at for some ms.
-        time.pass(AFTER_SHUTDOWN).await;
+        time.advance(AFTER_SHUTDOWN).await;
         let mut unanswered = 0;
         for client in clients {
             let mut client = TcpStream::from_std(client).expect("a connection");
@@ -90,18 +90,18 @@
         let mut client = TcpStream::connect(proxies[0].front).await.expect("a connection");
         // The process has 4.995 s left at the close.
         client.write_all(format!("{HEAD}Deadline-Ms: 4000\r\n").as_bytes()).await.expect("it is sent");
-        settle().await;
+        run_ready_tasks().await;
         terminate(&proxies).await;
-        time.pass(UNTIL_LISTENER_CLOSE).await;
+        time.advance(UNTIL_LISTENER_CLOSE).await;
         client.write_all(b"\r\n").await.expect("it is sent");
         endpoint.wait_for_request(&time).await;
-        time.pass(AFTER_SHUTDOWN).await;
+        time.advance(AFTER_SHUTDOWN).await;
         endpoint.may_respond.send_replace(true);
         assert_eq!(read_answer(&mut client).await, (Some(200), 5));
         // What the client may still send behind its answer counts as open until it closes as well (tests/answer_cut.rs).
         drop(client);
-        settle().await;
-        time.pass(AFTER_SHUTDOWN).await;
+        run_ready_tasks().await;
+        time.advance(AFTER_SHUTDOWN).await;
         assert!(proxies[0].has_ended(), "nothing is left to be answered");
     });
 }
@@ -115,9 +115,9 @@
         let proxies = StandaloneProxy::start(1, &configuration().replace("5000", "60000"), address).await;
         let mut client = TcpStream::connect(proxies[0].front).await.expect("a connection");
         client.write_all(format!("{HEAD}Deadline-Ms: 60000\r\n").as_bytes()).await.expect("it is sent");
-        settle().await;
+        run_ready_tasks().await;
         terminate(&proxies).await;
-        time.pass(UNTIL_LISTENER_CLOSE).await;
+        time.advance(UNTIL_LISTENER_CLOSE).await;
         client.write_all(b"\r\n").await.expect("it is sent");
         let mut answer = String::new();
         client.read_to_string(&mut answer).await.expect("an answer");
@@ -140,8 +140,8 @@
         let mut first = [0; 1];
         client.read_exact(&mut first).await.expect("the answer begins");
         terminate(&proxies).await;
-        time.pass(UNTIL_LISTENER_CLOSE).await;
-        time.pass(AFTER_SHUTDOWN).await;
+        time.advance(UNTIL_LISTENER_CLOSE).await;
+        time.advance(AFTER_SHUTDOWN).await;
         assert_eq!(read_answer(&mut client).await.1, LARGE_BODY);
     });
 }
@@ -164,20 +164,20 @@
             client.write_all(HEAD.as_bytes()).await.expect("it is sent");
             clients.push(client);
         }
-        settle().await;
+        run_ready_tasks().await;
         terminate(&proxies).await;
-        time.pass(UNTIL_LISTENER_CLOSE).await;
-        time.pass(UNTIL_FLUSH_TIME - UNTIL_LISTENER_CLOSE).await;
+        time.advance(UNTIL_LISTENER_CLOSE).await;
+        time.advance(UNTIL_FLUSH_TIME - UNTIL_LISTENER_CLOSE).await;
         let mut answered = 0;
         for mut client in clients {
             client.write_all(b"\r\n").await.expect("it is sent");
-            settle().await;
+            run_ready_tasks().await;
             if proxies[0].has_ended() {
                 break;
             }
             assert_eq!(read_answer(&mut client).await.0, Some(503), "after {answered} ms");
             answered += 1;
-            time.pass(Duration::from_millis(1)).await;
+            time.advance(Duration::from_millis(1)).await;
         }
         assert!(answered >= 50, "the process lives on for some 80 ms: {answered}");
         assert_eq!(endpoint.requests.get(), 0);
--- a/crates/onyxstile-system/tests/support/gated_endpoint.rs
+++ b/crates/onyxstile-system/tests/support/gated_endpoint.rs
@@ -61,7 +61,7 @@
             if self.requests.get() > 0 {
                 return;
             }
-            time.pass(Duration::from_millis(1)).await;
+            time.advance(Duration::from_millis(1)).await;
         }
         panic!("no request has come");
     }
