--- a/crates/onyxstile-system/src/registry/instance.rs
+++ b/crates/onyxstile-system/src/registry/instance.rs
@@ -43,7 +43,7 @@
 
 impl Instance {
     /// Whether it has left, is about to, or has fallen silent.
-    pub fn is_away(&self) -> bool {
+    pub fn is_unavailable(&self) -> bool {
         self.stage != Stage::Ready || self.is_silent
     }
 
@@ -66,10 +66,10 @@
             service: object.text("service")?.to_owned(),
             address: (socket.ip().octets(), socket.port()),
             zone: object.text("zone").unwrap_or_default().to_owned(),
-            capacity: object.whole_or("capacity", 1)?.clamp(1, 1 << 20) as u32,
+            capacity: object.integer_or("capacity", 1)?.clamp(1, 1 << 20) as u32,
             stage: if object.text("state")? == "draining" { Stage::Draining } else { Stage::Ready },
             warmup_left_ms: object.number_or("warmup_left_ms", 0.0)?.max(0.0) as u64,
-            sequence: object.whole_or("sequence", 0)?,
+            sequence: object.integer_or("sequence", 0)?,
             is_silent: false,
         })
     }
@@ -77,9 +77,9 @@
 
 /// A record as one controller tells another of it.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Told {
+pub struct RecordUpdate {
     /// The record.
     pub instance: Instance,
     /// The life of the controller that the endpoint's heartbeats come to; none if nobody is known to hear it.
-    pub hearer: Option<u64>,
+    pub owner: Option<u64>,
 }
--- a/crates/onyxstile-system/tests/support/tier_world/drains.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation/drains.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Tier {
+impl TierSimulation {
     /// Controllers that are electors, by the newest view that any has.
     pub(super) fn electors(&self) -> Vec<Ipv4Addr> {
         let views = self
@@ -23,7 +23,7 @@
             *drains = Drains {
                 disk,
                 held: BTreeSet::new(),
-                copies: Copies::new(is_founder && ip.octets()[3] <= 3),
+                copies: DrainSync::new(is_founder && ip.octets()[3] <= 3),
             };
         }
         drains
@@ -36,25 +36,25 @@
         }
         let octets: Vec<[u8; 4]> = electors.iter().map(Ipv4Addr::octets).collect();
         for to in self.control.present() {
-            let from = electors[self.control.roll(electors.len() as u32) as usize];
-            let is_due = self.control.roll(4) == 0 && from != to && self.control.is_linked(from, to);
+            let from = electors[self.control.random_below(electors.len() as u32) as usize];
+            let is_due = self.control.random_below(4) == 0 && from != to && self.control.is_linked(from, to);
             if !is_due || !self.control.is_up(to) || !self.control.is_up(from) {
                 continue;
             }
             let (held, is_whole) = {
                 let drains = self.drains(from);
-                (drains.held.clone(), drains.copies.is_whole())
+                (drains.held.clone(), drains.copies.is_complete())
             };
             let drains = self.drains(to);
             drains.held.extend(held);
-            drains.copies.pulled(from.octets(), is_whole);
-            drains.copies.review(to.octets(), &octets);
+            drains.copies.record_pull(from.octets(), is_whole);
+            drains.copies.check_complete(to.octets(), &octets);
         }
     }
 
     /// An endpoint says that it leaves: to a controller, which has it held by others before it acknowledges.
     pub fn drain(&mut self) {
-        let first = self.control.pick();
+        let first = self.control.random_machine();
         let electors = match self.control.controller_at(first).and_then(|controller| controller.view()) {
             Some(view) if self.control.is_up(first) => view.electors.clone(),
             _ => return,
@@ -65,7 +65,7 @@
         self.next_drain += 1;
         let drain = self.next_drain;
         self.drains(first).held.insert(drain);
-        let needed = holders_needed(electors.len(), self.tolerance.losses());
+        let needed = replicas_needed(electors.len(), self.tolerance.losses());
         let others: Vec<Ipv4Addr> =
             electors.iter().map(|id| id.address()).filter(|ip| *ip != first).collect();
         let mut held = 0;
@@ -76,7 +76,7 @@
             }
         }
         if held >= needed {
-            self.see("drains acknowledged");
+            self.count_event("drains acknowledged");
             self.acknowledged_drains.insert(drain);
         }
     }
@@ -87,14 +87,14 @@
         let mut heard: Vec<Ipv4Addr> = Vec::new();
         for ip in electors.iter().copied() {
             // Some don't answer in time.
-            if self.control.is_up(ip) && self.roll(3) > 0 && self.drains(ip).copies.is_whole() {
+            if self.control.is_up(ip) && self.random_below(3) > 0 && self.drains(ip).copies.is_complete() {
                 heard.push(ip);
             }
         }
         if heard.len() <= electors.len() / 2 {
             return;
         }
-        self.see("relays that started and were fresh");
+        self.count_event("relays that started and were fresh");
         let known: BTreeSet<u32> = heard.iter().flat_map(|ip| self.drains(*ip).held.clone()).collect();
         if let Some(drain) = self.acknowledged_drains.difference(&known).next() {
             let now = self.now();
