--- a/crates/onyxstile-system/src/feed_state.rs
+++ b/crates/onyxstile-system/src/feed_state.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Instant;
 use crate::evidence::Evidence;
-use crate::registry::{Instance, RELAYS_FORGET_AFTER};
+use crate::registry::{Instance, RELAY_TOMBSTONE_LIFETIME};
 use crate::wire::{Feed, PublishedState};
 
 /// News, in the order in which it came.
@@ -79,8 +79,9 @@
     }
 
     fn forget(&mut self, now: Instant) {
-        let is_expired =
-            |instance: &Instance, received| instance.is_away() && now.since(received) >= RELAYS_FORGET_AFTER;
+        let is_expired = |instance: &Instance, received| {
+            instance.is_unavailable() && now.since(received) >= RELAY_TOMBSTONE_LIFETIME
+        };
         self.endpoints.retain(|_, (instance, received)| !is_expired(instance, *received));
     }
 
--- a/crates/onyxstile-system/tests/support/mod.rs
+++ b/crates/onyxstile-system/tests/support/mod.rs
@@ -1,13 +1,13 @@
 //! What several tests share.
 #![allow(dead_code)]
 
-pub mod control_world;
+pub mod control_simulation;
 pub mod endpoints;
 pub mod gated_endpoint;
 pub mod listener;
-pub mod lone_proxy;
 pub mod memory_folder;
 pub mod search;
+pub mod standalone_proxy;
 pub mod store_world;
 pub mod tier;
 pub mod tier_simulation;
--- a/crates/onyxstile-system/tests/tier_histories.rs
+++ b/crates/onyxstile-system/tests/tier_histories.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use support::control_world::CATCH_UP;
+use support::control_simulation::CATCH_UP;
 use support::store_world::StoreFault;
 use support::tier_simulation::{COPIES_ONE_IN, TierSimulation};
 use support::variable;
@@ -44,7 +44,7 @@
             3 | 4 => tier.claim_turn(),
             _ => {
                 let base = tier.control.newest_committed();
-                let to = tier.control.pick();
+                let to = tier.control.random_machine();
                 tier.control.put(to, base, base + 1);
             }
         }
@@ -55,7 +55,7 @@
     if tier.random_below(4) == 0 {
         tier.start_relay();
     }
-    let reader = tier.control.pick();
+    let reader = tier.control.random_machine();
     tier.control.read(reader);
 }
 
@@ -67,7 +67,7 @@
     };
     let may_lose = tier.disks_lost() < 1;
     let store = tier.pick_store();
-    let core = tier.control.pick();
+    let core = tier.control.random_machine();
     let until = tier.now() + time;
     match tier.random_below(22) {
         0 => tier.kill_store(store, time),
