--- a/crates/onyxstile-system/src/admission.rs
+++ b/crates/onyxstile-system/src/admission.rs
@@ -1,12 +1,14 @@
-//! Whether a program may begin while the model endpoints of its service are busy. Pure.
+//! Admission of new programs while the model endpoints of their service are busy. Performs no I/O.
 //!
-//! What earns is a program that ends in time, and a service that lets all of them begin ends none in time. So first turns are
-//! refused while turns take much longer than they would at idle endpoints; turns of programs that have begun are not. Each
-//! relay decides by its own streams: all see the same endpoints, and nothing is asked of anybody.
+//! Only programs that end in time are useful, and a service that admits all programs under overload completes none in
+//! time. First turns are therefore refused while turns take much longer than at idle endpoints; turns of programs that
+//! have begun are not. Each relay decides by its own streams: all relays use the same endpoints, so that no
+//! coordination is needed.
 //!
-//! The *stretch* is the time that streams have taken lately over the time of the same progress at idle endpoints. Up to a
-//! target all programs begin; while it is beyond, the *level* falls, the part of programs that begin, and rises again below it. A
-//! less urgent class never has the larger part. Which programs begin is drawn by their names, so that all relays, and all tries, draw alike.
+//! The *slowdown* is the ratio of the recent stream times to the times of the same progress at idle endpoints. Up to a
+//! target all programs are admitted. Above the target the *level*, the admitted fraction, falls; below it, it rises
+//! again. A less urgent class never has a larger admitted fraction than a more urgent one. Admission is decided by a
+//! hash of the program's name, so that all relays and all attempts decide alike.
 
 use std::time::Duration;
 
@@ -14,31 +16,32 @@
 use crate::tally::half_life_decay;
 use crate::unit_hash::unit_hash;
 
-/// Streams of this age are worth half.
+/// Half-life of the weight of a stream measurement.
 const HALF_LIFE: Duration = Duration::from_millis(1000);
-/// The stretch that is aimed at. Aims are two times and more of what a program takes on idle endpoints, and some half of that are
-/// tools, pauses and the way, which don't stretch.
+/// Target slowdown. Target times are at least twice the time of a program on idle endpoints, and about half of that
+/// time is spent on tools, pauses and the network, which don't slow down.
 const TARGET: f64 = 2.5;
-/// The part of the most urgent class that begins, as a multiple of that of the least urgent one.
+/// Ratio of the admitted fraction of the most urgent class to that of the least urgent one.
 const MOST_URGENT_FACTOR: f64 = 1.3;
-/// By how much the logarithm of the level falls in a second at twice the target, and rises at none of it: slower than programs
-/// take, for those that have begun stay.
+/// Change of the logarithm of the level per second, falling at twice the target and rising at the lowest slowdown. It
+/// is slower than the duration of programs, because programs that have begun continue.
 const FALL_PER_SECOND: f64 = 1.6;
 const RISE_PER_SECOND: f64 = 0.8;
-/// A level that was not looked at for longer moves as if after this time.
+/// Longest interval for which the level is adjusted at once.
 const STEP_MAX: Duration = Duration::from_millis(500);
-/// Ranks of urgency that differ: class 0 is refused last, this class and those behind it first.
+/// Classes from this one on are refused first; class 0 is refused last.
 const LEAST_URGENT: u8 = 1;
-/// This part of the programs begins whatever the load, so that it shows when endpoints are free again.
+/// Fraction of the programs that is admitted at any load, so that free endpoints are noticed.
 const LEVEL_MIN: f64 = 0.02;
-/// Time of streams, in ms, before their stretch is acted on.
+/// Stream time, in ms, that must be measured before the slowdown is used.
 const WARMUP_MS: f64 = 400.0;
-/// A stream that waits counts up to this many times what its wait should be, so that a silent endpoint is not load.
+/// A waiting stream counts up to this multiple of its expected wait, so that a silent endpoint is not counted as load.
 const WAIT_FACTOR_MAX: f64 = 4.0;
-/// When a refused client may come back: soon, for a program that has waited long before it begins ends late.
+/// Time after which a refused client may retry. It is short because a program that waits long before it begins ends
+/// late.
 const RETRY_AFTER: Duration = Duration::from_millis(60);
 
-/// How a service's streams go on lately.
+/// Recent progress of a service's streams.
 #[derive(Debug, Clone)]
 pub struct Admission {
     elapsed_ms: f64,
@@ -49,14 +52,14 @@
     level_updated_at: Instant,
 }
 
-/// What is asked about a program.
+/// Admission request of a program.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionRequest<'a> {
-    /// Its name, or that of a request which belongs to none.
+    /// Name of the program, or of a request that belongs to none.
     pub name: &'a str,
-    /// Its route's rank; 0 is the most urgent.
+    /// Priority of the route; 0 is the most urgent.
     pub priority: u8,
-    /// The time until it should be over, in ms, if it tells that.
+    /// Time until the program should end, in ms, if stated.
     pub remaining_ms: Option<f64>,
 }
 
@@ -74,7 +77,7 @@
 }
 
 impl Admission {
-    /// A stream made progress in `took_ms` that takes `idle_ms` at an idle endpoint.
+    /// Records progress of a stream that took `elapsed_ms` and takes `idle_ms` at an idle endpoint.
     pub fn note(&mut self, now: Instant, elapsed_ms: f64, idle_ms: f64) {
         let decay = half_life_decay(now.since(self.counted_at), HALF_LIFE);
         self.elapsed_ms = self.elapsed_ms * decay + elapsed_ms;
@@ -82,19 +85,19 @@
         self.counted_at = now;
     }
 
-    /// A stream is waited for since `now`; its first event takes `idle_ms` at an idle endpoint.
+    /// Records a stream that is waited for since `now`; its first event takes `idle_ms` at an idle endpoint.
     pub fn wait(&mut self, now: Instant, idle_ms: f64) {
         self.waiting.push((now, idle_ms));
     }
 
-    /// The stream that is waited for since `since` has begun or is given up.
+    /// Removes the stream that is waited for since `since`: it has begun or is given up.
     pub fn stop_waiting(&mut self, since: Instant) {
         if let Some(index) = self.waiting.iter().position(|(sent, _)| *sent == since) {
             self.waiting.swap_remove(index);
         }
     }
 
-    /// How many times longer streams take than at idle endpoints; 1 while too little is known.
+    /// Ratio of the stream times to those at idle endpoints; 1 while too little is measured.
     pub fn slowdown(&self, now: Instant) -> f64 {
         let decay = half_life_decay(now.since(self.counted_at), HALF_LIFE);
         let (mut elapsed, mut idle) = (self.elapsed_ms * decay, self.idle_ms * decay);
@@ -106,8 +109,8 @@
         if elapsed < WARMUP_MS { 1.0 } else { elapsed / idle.max(1.0) }
     }
 
-    /// When a program that may not begin now may come back; `None` if it may begin. A usual turn takes `turn_ms` at an idle
-    /// endpoint.
+    /// Returns after which time a client may retry if its program is not admitted now, or `None` if it is admitted. A
+    /// typical turn takes `turn_ms` at an idle endpoint.
     pub fn check(&mut self, now: Instant, request: AdmissionRequest<'_>, turn_ms: f64) -> Option<Duration> {
         let slowdown = self.slowdown(now);
         self.update_level(now, slowdown);
@@ -119,12 +122,12 @@
         Some(RETRY_AFTER)
     }
 
-    /// The part of the most urgent programs that may begin.
+    /// Fraction of the most urgent programs that is admitted.
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Moves the level by how far the stretch is from its target.
+    /// Adjusts the level by the deviation of the slowdown from its target.
     fn update_level(&mut self, now: Instant, slowdown: f64) {
         let passed = now.since(self.level_updated_at).min(STEP_MAX).as_secs_f64();
         self.level_updated_at = now;
@@ -134,7 +137,7 @@
     }
 }
 
-/// The part of a class's programs that begin at a level.
+/// Admitted fraction of a class's programs at a level.
 pub fn admitted_fraction(level: f64, priority: u8) -> f64 {
     let urgency = 1.0 - f64::from(priority.min(LEAST_URGENT)) / f64::from(LEAST_URGENT);
     (level * (1.0 + (MOST_URGENT_FACTOR - 1.0) * urgency)).min(1.0)
--- a/crates/onyxstile-system/src/balance.rs
+++ b/crates/onyxstile-system/src/balance.rs
@@ -1,8 +1,9 @@
-//! The endpoints as one relay knows them, and the choice among them. Pure.
+//! Endpoint table of one relay and endpoint selection. Performs no I/O.
 //!
-//! Health is what calls show. An endpoint that can't be reached is passed over for a while that doubles, then one call at a
-//! time tries it; one that fails part of its calls costs more by the worth of what may be lost there. Registration says who exists and who
-//! leaves; an incarnation that leaves is never chosen again.
+//! Health is derived from real calls. An unreachable endpoint is skipped for an exponentially growing backoff, then
+//! probed by one call at a time. An endpoint that fails a share of its calls gets an additional cost, weighted by the
+//! cost of losing the call. Registration determines which endpoints exist and which are leaving; an incarnation that is
+//! leaving is never chosen again.
 
 mod affinity;
 mod connections;
@@ -38,34 +39,34 @@
 use crate::prefix::Part;
 
 new_key_type! {
-    /// Names an endpoint's incarnation inside this relay.
+    /// Identifies an endpoint's incarnation within this relay.
     pub struct EndpointKey;
 }
 
-/// Endpoints without a prompt's cost are compared in samples of this size: relays that all know the same of all
-/// endpoints would all choose the same one.
+/// Number of endpoints compared for a call without a prompt. Comparing a random sample keeps relays with identical
+/// information from all choosing the same endpoint.
 const SAMPLE_SIZE: usize = 3;
-/// This part of the calls that may be repeated goes wherever it would without evidence of failures.
+/// Fraction of the repeatable calls that ignores evidence of failures, so that suspected endpoints keep being probed.
 const PROBE_FRACTION: f64 = 0.05;
 
-/// What a call needs.
+/// Requirements of a call on its endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct CallRequirements<'a> {
-    /// The service.
+    /// Service to call.
     pub service: &'a str,
-    /// The parts of its prompt; none for calls of tools.
+    /// Parts of the prompt; empty for tool calls.
     pub parts: &'a [Part],
-    /// The program that it belongs to, if any.
+    /// Program that the call belongs to, if any.
     pub program: Option<&'a str>,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub may_repeat: bool,
     /// Endpoints that must not be chosen.
     pub excluded: &'a [EndpointKey],
-    /// The only endpoints that may be chosen, once a try has used up its attempts.
+    /// If set, only these endpoints may be chosen: the request has used up its attempts on new endpoints.
     pub only: Option<&'a [EndpointKey]>,
 }
 
-/// All endpoints that a relay knows.
+/// All endpoints known to a relay.
 #[derive(Default)]
 pub struct Endpoints {
     slots: SlotMap<EndpointKey, Endpoint>,
@@ -79,7 +80,8 @@
 }
 
 impl Endpoints {
-    /// A relay in `zone` that knows no endpoint. Relays with different names call different subsets of a tool service.
+    /// Creates an empty table for a relay in `zone`. Relays with different names call different subsets of a tool
+    /// service.
     pub fn new(zone: &str, name: &str) -> Endpoints {
         Endpoints {
             zone_delays: ZoneDelays::new(zone),
@@ -88,43 +90,43 @@
         }
     }
 
-    /// How many relays share the endpoints' connections, this one among them.
+    /// Sets the number of relays that share the endpoints' connections, including this one.
     pub fn set_relays(&mut self, relays: u32) {
         self.connections.set_relays(relays);
     }
 
-    /// What the endpoints of each service take.
+    /// Sets the connection limits of each service's endpoints.
     pub fn set_limits(&mut self, limits: HashMap<String, ConnectionLimit>) {
         self.connections.set_limits(limits);
     }
 
-    /// The connections that this relay may hold to an endpoint, in use and at rest.
+    /// Maximum number of connections that this relay may hold to an endpoint, in use and idle.
     pub fn connection_share(&self, key: EndpointKey) -> u32 {
         let service = self.slots.get(key).map_or("", |endpoint| endpoint.instance.service.as_str());
         self.connections.share(service, self.keys(service).len())
     }
 
-    /// A connection to an endpoint came up in `time`.
+    /// Records that a connection to an endpoint was established in `time`.
     pub fn connected(&mut self, key: EndpointKey, time: Duration) {
         if let Some(endpoint) = self.slots.get(key) {
             self.zone_delays.note(&endpoint.instance.zone, time);
         }
     }
 
-    /// A prompt is about to be sent for the first time.
+    /// Counts a prompt that is about to be sent for the first time.
     pub fn note_prompt(&mut self, parts: &[Part]) {
         if let Some(first) = parts.first() {
             self.prefix_shares.note(first.chain);
         }
     }
 
-    /// What this relay's calls show of endpoints under suspicion, to be told to other relays.
+    /// Call results of this relay for suspected endpoints, to be reported to the other relays.
     pub fn evidence(&self, now: Instant) -> Vec<Evidence> {
         let callable = self.slots.values().filter(|endpoint| endpoint.may_be_called());
         evidence::most_failed(callable.filter_map(|endpoint| endpoint.evidence(now)).collect())
     }
 
-    /// What all relays' calls show of endpoints under suspicion.
+    /// Applies the call results of all relays for suspected endpoints.
     pub fn merge_evidence(&mut self, now: Instant, reported: &[Evidence]) {
         for evidence in reported {
             let key = self.by_id.get(&evidence.instance);
@@ -134,7 +136,8 @@
         }
     }
 
-    /// The endpoint that is expected to answer first; `roll` in 0..1 breaks ties.
+    /// Returns the endpoint with the lowest expected cost. `random`, in 0..1, selects the compared sample and breaks
+    /// ties.
     pub fn choose(
         &self, now: Instant, requirements: &CallRequirements<'_>, random: f64,
     ) -> Option<EndpointKey> {
@@ -160,7 +163,7 @@
         costs.into_iter().min_by(cheaper).map(|(_, key)| key)
     }
 
-    /// What those endpoints have on average that told of it lately.
+    /// Mean load of the endpoints that have reported their load recently.
     fn mean_occupancy(&self, now: Instant, pool: &[EndpointKey]) -> Occupancy {
         let reported: Vec<Occupancy> = pool.iter().filter_map(|key| self.slots[*key].reported(now)).collect();
         Occupancy::mean(&reported)
@@ -170,13 +173,13 @@
         cost::base(endpoint, self.zone_delays.extra_ms(&endpoint.instance.zone))
     }
 
-    /// The mean latency, in ms, of those endpoints that have answered.
+    /// Mean latency, in ms, of the endpoints that have answered.
     fn mean_latency(&self, pool: &[EndpointKey]) -> f64 {
         let known: Vec<f64> = pool.iter().filter_map(|key| self.slots[*key].measured_latency_ms()).collect();
         if known.is_empty() { UNKNOWN_LATENCY_MS } else { known.iter().sum::<f64>() / known.len() as f64 }
     }
 
-    /// The cost of a call of a tool; one that has not answered yet is expected to take as long as the others.
+    /// Cost of a tool call. An endpoint that has not answered yet is assumed to be as fast as the others.
     fn tool_cost(&self, now: Instant, key: EndpointKey, typical: Occupancy, latency: f64) -> f64 {
         let endpoint = &self.slots[key];
         let latency = endpoint.measured_latency_ms().unwrap_or(latency);
@@ -212,12 +215,12 @@
     }
 }
 
-/// Whether a call is to show how endpoints are that others avoid: some of those that may be repeated.
+/// Whether a call ignores evidence of failures: a fraction of the repeatable calls does.
 fn is_probe(requirements: &CallRequirements<'_>, random: f64) -> bool {
     requirements.may_repeat && (random * 1e3).fract() < PROBE_FRACTION
 }
 
-/// A step through `length` places that meets each of them once, different from call to call.
+/// A step size coprime to `length`, so that stepping visits each index once; it varies from call to call.
 fn stride(length: usize, random: f64) -> usize {
     let wanted = 1 + (random * 1e6) as usize % length.max(1);
     (wanted..wanted + length).find(|step| greatest_common_divisor(*step, length) == 1).unwrap_or(1)
--- a/crates/onyxstile-system/src/balance/affinity.rs
+++ b/crates/onyxstile-system/src/balance/affinity.rs
@@ -1,13 +1,14 @@
-//! Which endpoints a prompt is meant for, so that relays that know nothing of each other agree. Pure.
+//! Preferred endpoints of a prompt, computed so that relays agree without communicating. Performs no I/O.
 //!
-//! A first part, shared by many programs, has several homes; a program has one of these as its own. So a turn that comes
-//! through another relay than the one before it finds its prompt read already.
+//! A first prompt part, which many programs share, has several preferred endpoints; each program prefers one of them. A
+//! turn that arrives through a different relay than the previous turn is therefore sent to an endpoint that already has
+//! the prompt in its cache.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::EndpointKey;
 
-/// The homes of one prompt.
+/// Preferred endpoints of one prompt.
 #[derive(Debug, Default)]
 pub(super) struct Affinity {
     prefix: Vec<EndpointKey>,
@@ -15,8 +16,8 @@
 }
 
 impl Affinity {
-    /// Chooses `count` homes among endpoints, given with their ids, by rendezvous over the first part, and the program's
-    /// own by rendezvous over these.
+    /// Selects `count` preferred endpoints from endpoints with their ids by rendezvous hashing over the first part, and
+    /// the program's endpoint from these by rendezvous hashing over the program.
     pub(super) fn rank(
         endpoints: &[(EndpointKey, &str)], prefix: u64, program: Option<&str>, count: usize,
     ) -> Affinity {
@@ -34,12 +35,12 @@
         }
     }
 
-    /// Whether an endpoint is one of the first part's homes.
+    /// Whether an endpoint is preferred for the first part.
     pub(super) fn is_preferred_for_prefix(&self, key: EndpointKey) -> bool {
         self.prefix.contains(&key)
     }
 
-    /// Whether an endpoint is the program's own.
+    /// Whether an endpoint is preferred for the program.
     pub(super) fn is_preferred_for_program(&self, key: EndpointKey) -> bool {
         self.program == Some(key)
     }
--- a/crates/onyxstile-system/src/balance/connections.rs
+++ b/crates/onyxstile-system/src/balance/connections.rs
@@ -1,30 +1,30 @@
-//! How many connections one relay may hold to an endpoint, so that all relays together stay within what the endpoint
-//! takes, and which endpoints of a tool service a relay calls at all. Pure.
+//! Connection limits of one relay: how many connections it may hold to an endpoint so that all relays together stay
+//! within the endpoint's limit, and which subset of a tool service it calls. Performs no I/O.
 //!
-//! An endpoint resets connections beyond its limit, and what was sent on one of these may not be sent again where a call
-//! must not run twice.
+//! An endpoint resets connections beyond its limit, and a request sent on such a connection may not be resent if the
+//! call must not run twice.
 
 use std::collections::HashMap;
 
-/// The part of an endpoint's connections that relays share out. The rest is for relays that nobody has counted yet and
-/// for connections that lost relays have left behind.
+/// Fraction of an endpoint's connections that is divided among the relays. The rest is reserved for relays that are not
+/// counted yet and for connections left behind by failed relays.
 const SHARED_FRACTION: f64 = 0.9;
-/// The most endpoints of a tool service that one relay calls while they are well: enough to compare several, and that
-/// the loss of some leaves a choice.
+/// Maximum number of endpoints of a tool service that one relay calls while they are healthy: enough to compare several
+/// and to leave a choice when some fail.
 const SUBSET_MAX: usize = 8;
-/// The fewest endpoints that a relay calls: with one alone there would be no choice.
+/// Minimum number of endpoints that a relay calls: a single one would leave no choice.
 const SUBSET_MIN: usize = 2;
 
-/// What one endpoint of a service takes.
+/// Connection limit of one endpoint of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionLimit {
-    /// Connections from all callers together.
+    /// Maximum number of connections from all callers together.
     pub connections: u64,
-    /// Whether all relays call all of its endpoints, as those of model services; else each calls a subset.
+    /// Whether every relay calls all endpoints, as for model services; otherwise each relay calls a subset.
     pub is_called_by_all: bool,
 }
 
-/// The limits, and how many relays share them.
+/// Connection limits and the number of relays that share them.
 #[derive(Debug, Default)]
 pub(super) struct Connections {
     relays: Option<u32>,
@@ -40,8 +40,8 @@
         self.limits = limits;
     }
 
-    /// How many of a service's `endpoints` this relay calls while they are well: all, or a subset where that is enough or
-    /// where an endpoint takes fewer connections than there are relays.
+    /// Number of a service's `endpoints` that this relay calls while they are healthy: all of them, or a subset if that
+    /// is sufficient or if an endpoint accepts fewer connections than there are relays.
     pub(super) fn subset_size(&self, service: &str, endpoints: usize) -> usize {
         let Some(limit) = self.limits.get(service) else { return endpoints };
         let wanted = if limit.is_called_by_all { endpoints } else { endpoints.min(SUBSET_MAX) };
@@ -50,8 +50,8 @@
         wanted.min((connections / f64::from(relays)) as usize).max(SUBSET_MIN.min(endpoints))
     }
 
-    /// The connections that this relay may hold to each of `endpoints` endpoints of a service, one at the least; without
-    /// bound while the relays or the limit are not known.
+    /// Maximum number of connections of this relay to each of a service's `endpoints` endpoints, at least one;
+    /// unlimited while the number of relays or the limit is unknown.
     pub(super) fn share(&self, service: &str, endpoints: usize) -> u32 {
         let (Some(relays), Some(limit)) = (self.relays, self.limits.get(service)) else { return u32::MAX };
         let callers = callers(relays, endpoints, self.subset_size(service, endpoints));
@@ -60,7 +60,8 @@
     }
 }
 
-/// How many relays may call one endpoint: all, or those whose subset it is in, three standard deviations over their mean.
+/// Upper estimate of the relays that call one endpoint: all relays, or the mean number whose subset contains it plus
+/// three standard deviations.
 fn callers(relays: u32, endpoints: usize, subset_size: usize) -> f64 {
     let relays = f64::from(relays);
     if subset_size >= endpoints {
--- a/crates/onyxstile-system/src/balance/cost.rs
+++ b/crates/onyxstile-system/src/balance/cost.rs
@@ -1,48 +1,51 @@
-//! What a call is expected to take at an endpoint, in ms beyond what it takes anywhere. Pure.
+//! Cost of a call at an endpoint: expected time in ms beyond the time that the call takes at any endpoint. Performs no
+//! I/O.
 
 use super::EndpointKey;
 use super::affinity::Affinity;
 use super::endpoint::{Endpoint, Occupancy};
 use crate::prefix::{Part, tokens};
 
-/// Tokens that an endpoint reads in a ms, until more is known: of the order of a large model on one accelerator.
+/// Assumed prompt reading speed, in tokens per ms: the order of magnitude of a large model on one accelerator.
 const READ_TOKENS_PER_MS: f64 = 38.0;
-/// What one more running request costs the others, in ms.
+/// Cost of one more running request to the others, in ms.
 const RUNNING_COST_MS: f64 = 3.0;
-/// What a prompt that waits to be read costs those behind it, in ms: a thousand new tokens.
+/// Cost of a prompt that waits to be read to those behind it, in ms: the reading time of a thousand new tokens.
 const WAITING_COST_MS: f64 = 25.0;
-/// What a request behind a full endpoint waits, in ms for each that is ahead of it.
+/// Waiting time behind a full endpoint, in ms for each request ahead.
 const QUEUEING_COST_MS: f64 = 40.0;
-/// The cost of an endpoint that has missed its heartbeats, in ms; it may still serve.
+/// Cost of an endpoint that has missed its heartbeats, in ms; it may still be serving.
 const SILENCE_COST_MS: f64 = 200.0;
-/// How far a relay trusts that a home holds what others are believed to have sent there.
+/// Fraction of the shared first part that a preferred endpoint is assumed to have cached because of other relays'
+/// calls.
 const AFFINITY_CONFIDENCE: f64 = 0.8;
-/// What a program's first turn gains at its own home, in ms: later turns come through other relays half of the time and
-/// would have a prompt of some two thousand tokens read anew.
+/// Gain of a program's first turn at the program's preferred endpoint, in ms. Later turns arrive through other relays
+/// half of the time, and elsewhere a prompt of about two thousand tokens would have to be read again.
 const PROGRAM_AFFINITY_GAIN_MS: f64 = 30.0;
-/// What it costs to lose a call that must not run twice, in ms: its program fails, or has the whole turn run anew.
+/// Cost of losing a call that must not run twice, in ms: its program fails or has to repeat the whole turn.
 const LOSS_COST_MS: f64 = 1500.0;
-/// What it costs to lose a call that is sent again, in ms.
+/// Cost of losing a call that can be sent again, in ms.
 const REPEAT_COST_MS: f64 = 200.0;
-/// The share by which a call of a tool slows an endpoint that was idle until all its slots are taken.
+/// Relative slowdown of a tool call when all slots of the endpoint are taken, compared with an idle endpoint.
 const TOOL_SLOWDOWN: f64 = 0.3;
 
-/// What is compared of one prompt.
+/// A prompt and the data that its costs are computed from.
 pub(super) struct Prompt<'a> {
     parts: &'a [Part],
     affinity: &'a Affinity,
-    /// Whether this relay knows an endpoint that holds more than the first part.
+    /// Whether an endpoint is known to have more than the first part cached.
     is_continuation_cached: bool,
 }
 
 impl<'a> Prompt<'a> {
-    /// A prompt with the most tokens of it that this relay knows some endpoint to hold.
+    /// Creates the data for a prompt; `most_held` is the largest number of its tokens that an endpoint is known to have
+    /// cached.
     pub(super) fn new(parts: &'a [Part], affinity: &'a Affinity, most_held: u64) -> Prompt<'a> {
         let first = parts.first().map_or(0, |part| u64::from(part.tokens));
         Prompt { parts, affinity, is_continuation_cached: most_held > first }
     }
 
-    /// Tokens that need not be read at an endpoint that is known to hold `known` of them.
+    /// Expected number of cached tokens at an endpoint that is known to have cached `known` of them.
     fn expected_held(&self, key: EndpointKey, known: u64) -> f64 {
         let mut expected = known as f64;
         if self.affinity.is_preferred_for_prefix(key) {
@@ -50,13 +53,14 @@
         }
         if self.affinity.is_preferred_for_program(key) && !self.is_continuation_cached && self.parts.len() > 2
         {
-            // Its last part is new with this turn; what came before went to the program's home through another relay.
+            // The last part is new in this turn; the earlier parts were sent to the program's preferred endpoint
+            // through another relay.
             expected = expected.max(AFFINITY_CONFIDENCE * tokens(&self.parts[..self.parts.len() - 1]) as f64);
         }
         expected
     }
 
-    /// The cost of reading the prompt at an endpoint that is known to hold `known` tokens of it.
+    /// Cost of reading the prompt, in ms, at an endpoint that is known to have cached `known` of its tokens.
     pub(super) fn read_cost(&self, key: EndpointKey, known: u64) -> f64 {
         let all = tokens(self.parts) as f64;
         let is_first_turn = self.parts.len() <= 2;
@@ -69,30 +73,30 @@
     }
 }
 
-/// The cost for any call of an endpoint that is `distance` ms away, there and back.
+/// Cost of any call to an endpoint with a round-trip time of `distance` ms.
 pub(super) fn base(endpoint: &Endpoint, distance: f64) -> f64 {
     let silence = if endpoint.instance.is_silent { SILENCE_COST_MS } else { 0.0 };
     let warmup = (endpoint.instance.warmup_left_ms as f64).min(1000.0) * 0.1;
     distance + silence + warmup
 }
 
-/// The cost of a call that is lost.
+/// Cost of losing a call, in ms.
 pub(super) fn loss(may_repeat: bool) -> f64 {
     if may_repeat { REPEAT_COST_MS } else { LOSS_COST_MS }
 }
 
-/// Requests beyond an endpoint's capacity once one more has come.
+/// Requests beyond the endpoint's capacity after one more arrives.
 fn queued(endpoint: &Endpoint, occupancy: Occupancy) -> f64 {
     (occupancy.total() + 1.0 - f64::from(endpoint.instance.capacity)).max(0.0)
 }
 
-/// The cost of what an endpoint is at work on for a call with a prompt.
+/// Cost of an endpoint's current load for a call with a prompt, in ms.
 pub(super) fn load_cost(endpoint: &Endpoint, occupancy: Occupancy) -> f64 {
     let queued = queued(endpoint, occupancy);
     occupancy.running * RUNNING_COST_MS + occupancy.waiting * WAITING_COST_MS + queued * QUEUEING_COST_MS
 }
 
-/// The time that a call of a tool takes at an endpoint that answers in `latency` ms while it is idle.
+/// Expected time of a tool call, in ms, at an endpoint that answers in `latency` ms when idle.
 pub(super) fn tool(endpoint: &Endpoint, occupancy: Occupancy, latency: f64) -> f64 {
     let capacity = f64::from(endpoint.instance.capacity);
     let queued = queued(endpoint, occupancy);
--- a/crates/onyxstile-system/src/balance/directory.rs
+++ b/crates/onyxstile-system/src/balance/directory.rs
@@ -1,4 +1,5 @@
-//! Which endpoints there are: incarnations by key, id and service, from their registration until they are forgotten. Pure.
+//! Endpoint directory: incarnations by key, id and service, from their registration until they are removed. Performs no
+//! I/O.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -8,7 +9,7 @@
 use crate::registry::{Instance, RELAY_TOMBSTONE_LIFETIME, Stage};
 
 impl Endpoints {
-    /// Takes a registration in; returns incarnations that are not to be called any more.
+    /// Applies a registration; returns the incarnation if it must not be called any more.
     pub fn update(&mut self, now: Instant, instance: Instance) -> Option<EndpointKey> {
         let key = match self.by_id.get(&instance.id) {
             Some(key) => *key,
@@ -25,7 +26,7 @@
         (endpoint.instance.stage != Stage::Ready).then_some(key)
     }
 
-    /// Forgets endpoints that left or fell silent long ago; returns their keys, which name nothing any more.
+    /// Removes endpoints that left or became silent long ago; returns their keys, which are then invalid.
     pub fn forget(&mut self, now: Instant) -> Vec<EndpointKey> {
         let is_expired = |endpoint: &Endpoint| endpoint.is_expired(now, RELAY_TOMBSTONE_LIFETIME);
         let over: Vec<EndpointKey> =
@@ -41,29 +42,29 @@
         over
     }
 
-    /// An endpoint.
+    /// Returns an endpoint.
     pub fn get(&self, key: EndpointKey) -> Option<&Endpoint> {
         self.slots.get(key)
     }
 
-    /// The key of an incarnation.
+    /// Returns the key of an incarnation.
     pub fn key(&self, id: &str) -> Option<EndpointKey> {
         self.by_id.get(id).copied()
     }
 
-    /// An endpoint, to note what a call has shown.
+    /// Returns an endpoint for recording the outcome of a call.
     pub fn get_mut(&mut self, key: EndpointKey) -> Option<&mut Endpoint> {
         self.slots.get_mut(key)
     }
 
-    /// Services that have endpoints, in the order of their names.
+    /// Names of the services that have endpoints, sorted.
     pub fn services(&self) -> Vec<String> {
         let mut services: Vec<String> = self.by_service.keys().cloned().collect();
         services.sort_unstable();
         services
     }
 
-    /// How many endpoints of a service may be called.
+    /// Number of endpoints of a service that may be called.
     pub fn usable(&self, service: &str) -> usize {
         self.keys(service).iter().filter(|key| self.slots[**key].may_be_called()).count()
     }
--- a/crates/onyxstile-system/src/balance/endpoint.rs
+++ b/crates/onyxstile-system/src/balance/endpoint.rs
@@ -1,4 +1,4 @@
-//! One incarnation of an endpoint, as the relay's own calls have shown it.
+//! State of one endpoint incarnation, derived from the relay's own calls.
 
 use std::time::Duration;
 
@@ -9,33 +9,33 @@
 use crate::prefix::Cache;
 use crate::registry::{Instance, Stage};
 
-/// An endpoint in trouble is first passed over for this time.
+/// First backoff after a failure.
 const BACKOFF_MIN: Duration = Duration::from_millis(300);
-/// The longest time for which it is passed over.
+/// Longest backoff.
 const BACKOFF_MAX: Duration = Duration::from_secs(4);
-/// What an endpoint has told of its load counts for this long.
+/// Time for which a load report is used.
 const LOAD_LIFETIME: Duration = Duration::from_millis(1500);
-/// Weight of a new sample in the usual latency.
+/// Weight of a new sample in the mean latency.
 const LATENCY_WEIGHT: f64 = 0.1;
-/// The latency of an endpoint that has not answered yet, in ms, where nothing is known of others either.
+/// Latency, in ms, that is assumed for an endpoint that has not answered yet if none of the others has.
 pub(super) const UNKNOWN_LATENCY_MS: f64 = 60.0;
 
-/// What an endpoint is expected to be at work on.
+/// Expected load of an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Occupancy {
-    /// Requests that run.
+    /// Running requests.
     pub running: f64,
     /// Requests whose prompt waits to be read.
     pub waiting: f64,
 }
 
 impl Occupancy {
-    /// All requests.
+    /// Running and waiting requests.
     pub fn total(&self) -> f64 {
         self.running + self.waiting
     }
 
-    /// The mean of several and of one that is idle, so that a single busy one does not stand for all.
+    /// Mean of the given loads and one idle endpoint, so that a single busy endpoint does not stand for all.
     pub(super) fn mean(several: &[Occupancy]) -> Occupancy {
         let count = several.len() as f64 + 1.0;
         Occupancy {
@@ -45,19 +45,19 @@
     }
 }
 
-/// One incarnation.
+/// One incarnation of an endpoint.
 pub struct Endpoint {
-    /// What it registered.
+    /// The registered data.
     pub instance: Instance,
-    /// The service under which it is listed.
+    /// Service that the endpoint is listed under.
     pub(super) service: String,
-    /// When something was told of it last.
+    /// Time of the last registration update.
     updated: Instant,
-    /// What its cache is believed to hold.
+    /// Estimated contents of the endpoint's cache.
     pub cache: Cache,
-    /// What calls have shown of it.
+    /// Health record, derived from calls.
     pub health: Health,
-    /// Its place in this relay's own order of endpoints.
+    /// Position in this relay's own order of endpoints.
     pub(super) rank: u64,
     in_flight: u32,
     reported: Option<(Load, u32, Instant)>,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A registration moves an incarnation on, never back.
+    /// Applies a registration; the stage of an incarnation never moves backwards.
     pub(super) fn update(&mut self, now: Instant, instance: Instance) {
         self.updated = now;
         let stage = self.instance.stage.max(instance.stage);
@@ -95,23 +95,23 @@
         self.instance.stage = stage;
     }
 
-    /// Whether it left or fell silent so long ago that nothing of it is wanted any more.
+    /// Whether the endpoint has been unavailable for longer than `after` and has no calls in flight.
     pub(super) fn is_expired(&self, now: Instant, after: Duration) -> bool {
         let is_away = self.is_superseded || self.instance.is_unavailable();
         is_away && self.in_flight == 0 && now.since(self.updated) > after
     }
 
-    /// Whether it exists and does not leave.
+    /// Whether the endpoint is ready and not superseded.
     pub fn may_be_called(&self) -> bool {
         self.instance.stage == Stage::Ready && !self.is_superseded
     }
 
-    /// Whether it isn't passed over. After a failure one call at a time tries it.
+    /// Whether the endpoint is not in backoff. After a failure it receives one call at a time.
     pub fn is_healthy(&self, now: Instant) -> bool {
         self.failures_in_row == 0 || (now >= self.backoff_until && self.in_flight == 0)
     }
 
-    /// What it told lately, and what this relay has sent and ended since.
+    /// Last reported load, if recent, adjusted by the calls that this relay has started and ended since.
     pub(super) fn reported(&self, now: Instant) -> Option<Occupancy> {
         let (reported, in_flight_then, _) =
             self.reported.filter(|(_, _, at)| now.since(*at) <= LOAD_LIFETIME)?;
@@ -120,54 +120,54 @@
         Some(Occupancy { running, waiting: f64::from(reported.waiting) })
     }
 
-    /// The load that it told last.
+    /// Last reported load, whatever its age.
     pub fn last_load(&self) -> Option<Load> {
         self.reported.map(|(load, _, _)| load)
     }
 
-    /// What to expect: what it told, else what is usual among the others; this relay's own calls at the least.
+    /// Expected load: the reported one if recent, otherwise `typical`; at least the relay's own calls in flight.
     pub(super) fn occupancy(&self, now: Instant, typical: Occupancy) -> Occupancy {
         let expected = self.reported(now).unwrap_or(typical);
         let unseen = f64::from(self.in_flight) - expected.total();
         Occupancy { running: expected.running + unseen.max(0.0), ..expected }
     }
 
-    /// The usual time of an answer, in ms, if it has answered.
+    /// Mean latency, in ms, if the endpoint has answered.
     pub(super) fn measured_latency_ms(&self) -> Option<f64> {
         self.latency_ms
     }
 
-    /// The usual time of an answer, in ms.
+    /// Mean latency, in ms, or a default if the endpoint has not answered.
     pub fn latency_ms(&self) -> f64 {
         self.latency_ms.unwrap_or(UNKNOWN_LATENCY_MS)
     }
 
-    /// Calls that are out, each on a connection of its own.
+    /// Calls in flight, each on its own connection.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// A call goes out.
+    /// Records the start of a call.
     pub fn begin(&mut self) {
         self.in_flight += 1;
     }
 
-    /// A call has ended, whatever its outcome.
+    /// Records the end of a call, whatever its outcome.
     pub fn end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// It has told its load.
+    /// Records a load report.
     pub fn note_load(&mut self, now: Instant, load: Load) {
         self.reported = Some((load, self.in_flight, now));
     }
 
-    /// The part of calls that is to be expected to fail.
+    /// Expected fraction of failing calls.
     pub fn suspicion(&self, now: Instant) -> f64 {
         self.health.suspicion(now, self.latency())
     }
 
-    /// What there is to tell other relays of its calls.
+    /// Call results to report to other relays, if any.
     pub(super) fn evidence(&self, now: Instant) -> Option<Evidence> {
         let tally = self.health.report(now, self.latency())?;
         Some(Evidence::new(&self.instance.id, tally))
@@ -177,7 +177,7 @@
         Duration::from_secs_f64(self.latency_ms() / 1000.0)
     }
 
-    /// It has answered a call.
+    /// Records an answered call.
     pub fn succeeded(&mut self, now: Instant, latency: Option<Duration>) {
         self.failures_in_row = 0;
         self.health.note_answer(now);
@@ -188,26 +188,26 @@
         }
     }
 
-    /// It has run a call and answered with an error.
+    /// Records a call that was executed and answered with an error.
     pub fn failed_with_error(&mut self, now: Instant) {
         self.failures_in_row = 0;
         self.health.note_failure(now);
     }
 
-    /// A call was sent, and its connection broke or nothing came.
+    /// Records a call that was sent and whose connection broke or timed out.
     pub fn failed(&mut self, now: Instant) {
         self.health.note_failure(now);
         self.unreachable(now);
     }
 
-    /// No connection came up, or it was closed before a call was sent.
+    /// Records that no connection could be established, or that it was closed before the call was sent.
     pub fn unreachable(&mut self, now: Instant) {
         self.failures_in_row += 1;
         let pause = BACKOFF_MIN.saturating_mul(1 << (self.failures_in_row - 1).min(8)).min(BACKOFF_MAX);
         self.backoff_until = self.backoff_until.max(now + pause);
     }
 
-    /// Another incarnation has its address.
+    /// Marks the endpoint as superseded: another incarnation has its address.
     pub fn superseded(&mut self) {
         self.is_superseded = true;
         self.cache.clear();
--- a/crates/onyxstile-system/src/balance/pool.rs
+++ b/crates/onyxstile-system/src/balance/pool.rs
@@ -1,22 +1,23 @@
-//! Among which endpoints a call has the choice, and which may be homes. Pure.
+//! Candidate endpoints of a call and the selection of the local zone. Performs no I/O.
 
 use std::collections::HashSet;
 
 use super::{CallRequirements, EndpointKey, Endpoints};
 use crate::clock::Instant;
 
-/// Homes are in the relay's own zone where as many endpoints as this are well there: clients of a zone come through its
-/// relays, and a conversation that crosses zones is paid for by its bytes.
+/// Preferred endpoints are taken from the relay's own zone if at least this many endpoints are healthy there: clients
+/// of a zone connect to its relays, and traffic across zones is charged by the byte.
 const LOCAL_ENDPOINTS_MIN: usize = 2;
-/// A zone with less than this part of the endpoints that zones have on average can't carry an even share of the programs.
+/// A zone with less than this fraction of the mean number of endpoints per zone can't serve an even share of the
+/// programs.
 const LOCAL_FRACTION_MIN: f64 = 0.67;
 
-/// Endpoints at which a larger part of calls is expected to fail are left out of samples.
+/// Endpoints with a higher expected failure rate are left out of samples.
 const SUSPICION_MAX: f64 = 0.05;
 
 impl Endpoints {
-    /// The endpoints among which a call has the choice: those that are well and to which this relay may hold one more
-    /// connection, as long as there are any; of these, this relay's subset.
+    /// Candidates of a call: endpoints that are healthy and to which this relay may hold one more connection; each of
+    /// these conditions is dropped if no endpoint meets it. Limited to this relay's subset.
     pub(super) fn pool(&self, now: Instant, requirements: &CallRequirements<'_>) -> Vec<EndpointKey> {
         let keys = self.keys(requirements.service);
         let candidates: Vec<EndpointKey> =
@@ -27,7 +28,7 @@
         self.subset(with_capacity, self.connections.subset_size(requirements.service, keys.len()))
     }
 
-    /// Those that come first in this relay's own order: one that goes is replaced by the next, and all others stay.
+    /// The first endpoints in this relay's own order. One that leaves is replaced by the next, and all others stay.
     fn subset(&self, mut pool: Vec<EndpointKey>, size: usize) -> Vec<EndpointKey> {
         if pool.len() > size {
             pool.select_nth_unstable_by_key(size, |key| self.slots[*key].rank);
@@ -36,8 +37,8 @@
         pool
     }
 
-    /// Those of a tool's endpoints from which a sample is drawn: without the suspects, but half of them at least, the least
-    /// suspect ones. Evidence never leaves a service empty.
+    /// Tool endpoints to sample from: the unsuspected ones, but at least the less suspected half. Evidence therefore
+    /// never leaves a service without endpoints.
     pub(super) fn trusted(
         &self, now: Instant, requirements: &CallRequirements<'_>, mut pool: Vec<EndpointKey>,
     ) -> Vec<EndpointKey> {
@@ -59,13 +60,13 @@
             && requirements.only.is_none_or(|only| only.contains(&key))
     }
 
-    /// Those of `pool` in the relay's own zone.
+    /// Endpoints of `pool` in the relay's own zone.
     pub(super) fn in_local_zone(&self, pool: &[EndpointKey]) -> Vec<EndpointKey> {
         let is_local = |key: &EndpointKey| self.zone_delays.is_local_zone(&self.slots[*key].instance.zone);
         pool.iter().copied().filter(is_local).collect()
     }
 
-    /// The endpoints that a zone must have for the programs of its clients to be at home there.
+    /// Number of endpoints that a zone needs for programs to prefer local endpoints.
     pub(super) fn local_endpoints_min(&self, pool: &[EndpointKey]) -> usize {
         let zones: HashSet<&str> = pool.iter().map(|key| self.slots[*key].instance.zone.as_str()).collect();
         let mean = pool.len() as f64 / zones.len().max(1) as f64;
@@ -73,7 +74,7 @@
     }
 }
 
-/// Those of `keys` that pass, or all of them where none does.
+/// The keys that pass the filter, or all keys if none does.
 fn only_if_any(keys: Vec<EndpointKey>, passes: impl Fn(EndpointKey) -> bool) -> Vec<EndpointKey> {
     let passing: Vec<EndpointKey> = keys.iter().copied().filter(|key| passes(*key)).collect();
     if passing.is_empty() { keys } else { passing }
--- a/crates/onyxstile-system/src/balance/prefix_shares.rs
+++ b/crates/onyxstile-system/src/balance/prefix_shares.rs
@@ -1,17 +1,19 @@
-//! How large a part of the traffic begins with which first part of a prompt. Pure.
+//! Traffic share of each first prompt part. Performs no I/O.
 
 use std::collections::HashMap;
 
-/// Prompts after which older ones count half.
+/// Number of prompts after which the weight of a prompt has halved.
 const HALF_LIFE: f64 = 256.0;
-/// First parts that are remembered; without a bound each session of a deployment without shared parts would stay.
+/// Maximum number of first parts that are counted. Without a limit, each session of a deployment without shared parts
+/// would be kept.
 const PREFIXES_MAX: usize = 1024;
-/// The homes of a first part take this many times its share of the endpoints, so that chance does not crowd them.
+/// Ratio of a first part's share of preferred endpoints to its traffic share, so that random variation does not
+/// overload them.
 const PREFERRED_FACTOR: f64 = 4.0;
-/// Prompts that stand for an even share of all first parts before any was counted: relays that have seen few agree all
-/// the same.
+/// Weight, in prompts, of the assumption that all first parts have equal shares, so that relays that have counted few
+/// prompts agree.
 const PRIOR_PROMPTS: f64 = 128.0;
-/// The fewest homes.
+/// Minimum number of preferred endpoints.
 const PREFERRED_MIN: usize = 2;
 
 /// Decaying counts of first parts.
@@ -23,7 +25,7 @@
 }
 
 impl PrefixShares {
-    /// A prompt that begins with `part`.
+    /// Counts a prompt that begins with `part`.
     pub(super) fn note(&mut self, part: u64) {
         self.weight = if self.weight == 0.0 { 1.0 } else { self.weight * 2f64.powf(1.0 / HALF_LIFE) };
         *self.counts.entry(part).or_default() += self.weight;
@@ -45,7 +47,7 @@
         self.weight = 1.0;
     }
 
-    /// How many of `endpoints` a first part is read at before it is held anywhere.
+    /// Number of `endpoints` that are preferred for a first part.
     pub(super) fn preferred_count(&self, part: u64, endpoints: usize) -> usize {
         // Counts are in units of the newest prompt's weight, which grows.
         let unit = self.weight.max(1.0);
@@ -53,7 +55,7 @@
         let prior = PRIOR_PROMPTS / self.counts.len().max(1) as f64;
         let share = (count + prior) / (self.total / unit + PRIOR_PROMPTS);
         let wanted = (share * PREFERRED_FACTOR * endpoints as f64).ceil() as usize;
-        // Relays that count shares a little differently agree on a power of two.
+        // Rounding up to a power of two makes relays with slightly different counts agree.
         wanted.next_power_of_two().max(PREFERRED_MIN).min(endpoints)
     }
 }
--- a/crates/onyxstile-system/src/balance/streams.rs
+++ b/crates/onyxstile-system/src/balance/streams.rs
@@ -1,4 +1,5 @@
-//! What a relay's streams show of how fast and how busy the endpoints of each service are, and which programs may begin. Pure.
+//! Stream measurements per service: speed and load of its endpoints, and the admission of new programs. Performs no
+//! I/O.
 
 use std::time::Duration;
 
@@ -8,28 +9,30 @@
 use crate::prefix::{Part, tokens};
 use crate::stream_timing::StreamTiming;
 
-/// Events of a stream whose pace is noted at once: single ones may come together.
+/// Number of stream events that are measured together, because single events may arrive in one batch.
 pub const EVENTS_PER_SAMPLE: u32 = 3;
-/// Endpoints count as busy from this part of their places on. Prompts wait somewhere then, though few endpoints have told a relay so.
+/// Endpoints count as busy when this fraction of their slots is taken. At that load prompts wait at some endpoint,
+/// although few endpoints have reported it to this relay.
 const BUSY_FRACTION: f64 = 0.25;
-/// A pause counts up to this many times its usual length: a longer one is a client that does not read, or an endpoint in trouble.
+/// A pause counts up to this multiple of its expected length; a longer one is caused by a client that does not read or
+/// by a failing endpoint.
 const PAUSE_FACTOR_MAX: f64 = 10.0;
 
-/// A stream that was sent and has not begun.
+/// A stream that was sent and has not started.
 #[derive(Debug, Clone)]
 pub struct PendingStream {
     key: EndpointKey,
     service: String,
     since: Instant,
-    /// Tokens that the endpoint is believed to have to read.
+    /// Tokens that the endpoint is expected to read.
     tokens: f64,
-    /// Whether that is more than a guess.
+    /// Whether the token count is known rather than estimated.
     is_sure: bool,
-    /// When its first event would come from an idle endpoint, in ms; `None` while that is not known.
+    /// Expected time until the first event at an idle endpoint, in ms; `None` while that is unknown.
     idle_ms: Option<f64>,
 }
 
-/// What the streams of one service have shown.
+/// Measurements of one service's streams.
 #[derive(Default)]
 pub(super) struct StreamStats {
     timing: StreamTiming,
@@ -37,7 +40,7 @@
 }
 
 impl Endpoints {
-    /// When a program that may not begin now may come back; `None` if it may begin.
+    /// Returns after which time a client may retry if its program is not admitted now, or `None` if it is admitted.
     pub fn check_admission(
         &mut self, now: Instant, service: &str, request: AdmissionRequest<'_>,
     ) -> Option<Duration> {
@@ -48,7 +51,7 @@
         self.is_busy(now, service).then_some(retry_after)
     }
 
-    /// A stream is sent to an endpoint; its cache does not know of it yet.
+    /// Records that a stream is sent to an endpoint. Must be called before the prompt is added to the cache estimate.
     pub fn stream_sent(&mut self, now: Instant, key: EndpointKey, parts: &[Part]) -> Option<PendingStream> {
         let endpoint = self.slots.get(key)?;
         let service = endpoint.service.clone();
@@ -58,12 +61,12 @@
         if let Some(idle_ms) = idle_ms {
             admission.wait(now, idle_ms);
         }
-        // All but the last part was sent there by this relay.
+        // This relay has sent all but the last part to that endpoint.
         let is_sure = parts.last().is_some_and(|last| unread <= u64::from(last.tokens));
         Some(PendingStream { key, service, since: now, tokens: unread as f64, is_sure, idle_ms })
     }
 
-    /// Its first event has come.
+    /// Records the first event of a stream.
     pub fn stream_started(&mut self, now: Instant, expected: &PendingStream) {
         let ms = now.since(expected.since).as_secs_f64() * 1e3;
         let Some(StreamStats { timing, admission }) = self.streams.get_mut(&expected.service) else { return };
@@ -75,7 +78,7 @@
         }
     }
 
-    /// It is not waited for any more.
+    /// Records that the stream is no longer waited for.
     pub fn stream_wait_ended(&mut self, expected: &PendingStream) {
         let streams = self.streams.get_mut(&expected.service).filter(|_| expected.idle_ms.is_some());
         if let Some(streams) = streams {
@@ -83,7 +86,7 @@
         }
     }
 
-    /// `count` events of a stream have come after they were waited for.
+    /// Records `count` further events that arrived within the time `waited`.
     pub fn stream_progressed(&mut self, now: Instant, key: EndpointKey, count: u32, waited: Duration) {
         let Some(endpoint) = self.slots.get(key) else { return };
         let Some(StreamStats { timing, admission }) = self.streams.get_mut(&endpoint.service) else { return };
@@ -95,7 +98,7 @@
         }
     }
 
-    /// A stream has ended whole after `events`.
+    /// Records the complete end of a stream after `events` events.
     pub fn stream_ended(&mut self, key: EndpointKey, events: u32) {
         let service = self.slots.get(key).map(|endpoint| &endpoint.service);
         if let Some(streams) = service.and_then(|service| self.streams.get_mut(service)) {
@@ -103,27 +106,28 @@
         }
     }
 
-    /// How many times longer a service's streams take than at idle endpoints.
+    /// Ratio of a service's stream times to those at idle endpoints.
     pub fn slowdown(&self, now: Instant, service: &str) -> f64 {
         self.streams.get(service).map_or(1.0, |streams| streams.admission.slowdown(now))
     }
 
-    /// The part of a service's programs that may begin.
+    /// Fraction of a service's programs that is admitted.
     pub fn level(&self, service: &str) -> f64 {
         self.streams.get(service).map_or(1.0, |streams| streams.admission.level())
     }
 
-    /// How long an idle endpoint of a service takes to read a token, in ms; 0 where no stream was sent.
+    /// Time in which an idle endpoint of a service reads a token, in ms; 0 if no stream was sent.
     pub fn token_ms(&self, service: &str) -> f64 {
         self.streams.get(service).map_or(0.0, |streams| streams.timing.token_ms())
     }
 
-    /// How long it takes to write an event, in ms, likewise.
+    /// Time in which an idle endpoint of a service writes an event, in ms; 0 if no stream was sent.
     pub fn event_ms(&self, service: &str) -> f64 {
         self.streams.get(service).map_or(0.0, |streams| streams.timing.event_ms())
     }
 
-    /// Whether a good part of the places of a service's endpoints is taken, or anything waits there, by what they told lately.
+    /// Whether a considerable fraction of the slots of a service's endpoints is taken, or requests wait, according to
+    /// recent load reports.
     fn is_busy(&self, now: Instant, service: &str) -> bool {
         let (mut taken, mut total_slots, mut waiting) = (0.0, 0.0, 0.0);
         for key in self.keys(service) {
--- a/crates/onyxstile-system/src/balance/zone_delays.rs
+++ b/crates/onyxstile-system/src/balance/zone_delays.rs
@@ -1,14 +1,15 @@
-//! How far the zones are from this relay, by the time that connections take to come up. Pure.
+//! Additional latency of each zone, derived from connection times. Performs no I/O.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What crossing to another zone costs at the least, in ms there and back; the same until it was measured.
+/// Minimum additional round-trip time to another zone, in ms; also the default before the first measurement.
 const OTHER_ZONE_MS: f64 = 3.0;
-/// Weight of a sample above what is known. A sample below replaces it: only the shortest times are free of queues.
+/// Weight of a sample above the current value. A lower sample replaces the value, because only the shortest times are
+/// free of queueing.
 const LONGER_WEIGHT: f64 = 0.02;
 
-/// The times by zone.
+/// Connection times by zone.
 #[derive(Debug, Default)]
 pub(super) struct ZoneDelays {
     local: String,
@@ -16,12 +17,12 @@
 }
 
 impl ZoneDelays {
-    /// A relay in the zone `own` that has measured nothing.
+    /// Creates an empty record for a relay in the zone `local`.
     pub(super) fn new(local: &str) -> ZoneDelays {
         ZoneDelays { local: local.to_owned(), connect_ms: HashMap::new() }
     }
 
-    /// A connection to an endpoint in `zone` came up in this time.
+    /// Records the time in which a connection to an endpoint in `zone` was established.
     pub(super) fn note(&mut self, zone: &str, time: Duration) {
         let sample = time.as_secs_f64() * 1000.0;
         match self.connect_ms.get_mut(zone) {
@@ -38,7 +39,7 @@
         zone == self.local
     }
 
-    /// What a call to `zone` takes longer than one to the relay's own, in ms there and back.
+    /// Additional round-trip time to `zone` compared with the relay's own zone, in ms.
     pub(super) fn extra_ms(&self, zone: &str) -> f64 {
         if self.is_local_zone(zone) {
             return 0.0;
--- a/crates/onyxstile-system/src/clock.rs
+++ b/crates/onyxstile-system/src/clock.rs
@@ -1,24 +1,24 @@
-//! Steady time as the pure parts see it: milliseconds since the process (or a simulated day) began.
+//! Monotonic time for code without I/O: the time since the process, or a simulated day, started.
 
 use std::ops::Add;
 use std::time::Duration;
 
-/// A moment on the steady clock.
+/// A point in monotonic time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Instant(Duration);
 
 impl Instant {
-    /// The moment `milliseconds` after the start.
+    /// The time `milliseconds` after the start.
     pub fn from_millis(milliseconds: u64) -> Instant {
         Instant(Duration::from_millis(milliseconds))
     }
 
-    /// The moment at which `elapsed` has passed since the start.
+    /// The time `elapsed` after the start.
     pub fn from_elapsed(elapsed: Duration) -> Instant {
         Instant(elapsed)
     }
 
-    /// Time from `earlier` to this moment; zero if it lies later.
+    /// Time from `earlier` to this time; zero if `earlier` is later.
     pub fn since(self, earlier: Instant) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
@@ -32,19 +32,19 @@
     }
 }
 
-/// Reads the steady clock of the process.
+/// The monotonic clock of the process.
 #[derive(Debug, Clone, Copy)]
 pub struct SteadyClock {
     start: tokio::time::Instant,
 }
 
 impl SteadyClock {
-    /// A clock that begins now.
+    /// Creates a clock that starts now.
     pub fn start() -> SteadyClock {
         SteadyClock { start: tokio::time::Instant::now() }
     }
 
-    /// The present moment.
+    /// The current time.
     pub fn now(&self) -> Instant {
         Instant(self.start.elapsed())
     }
--- a/crates/onyxstile-system/src/connection_watchdog.rs
+++ b/crates/onyxstile-system/src/connection_watchdog.rs
@@ -1,11 +1,11 @@
-//! How long a client's connection may stay as it is: a head that does not end and a rest that lasts too long are ended.
-//! Pure.
+//! Watchdog of a client connection: closes it if a request head is incomplete or the connection is idle for too long.
+//! Performs no I/O.
 
 use std::time::Duration;
 
 use crate::clock::Instant;
 
-/// What a listener allows a connection.
+/// Time limits of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionTimeouts {
     /// Time from a request's first byte to the end of its head.
@@ -14,12 +14,12 @@
     pub idle: Duration,
 }
 
-/// Why a connection is ended.
+/// Reason for closing a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Overdue {
-    /// The head of a request did not end in time.
+    /// A request head was not completed in time.
     Head,
-    /// It has rested too long.
+    /// The connection was idle for too long.
     Idle,
 }
 
@@ -30,7 +30,7 @@
     Answering,
 }
 
-/// One connection.
+/// Watchdog of one connection.
 #[derive(Debug)]
 pub struct ConnectionWatchdog {
     timeouts: ConnectionTimeouts,
@@ -39,40 +39,42 @@
 }
 
 impl ConnectionWatchdog {
-    /// A connection that has just come.
+    /// Creates the watchdog of a new connection.
     pub fn new(now: Instant, timeouts: ConnectionTimeouts) -> ConnectionWatchdog {
         ConnectionWatchdog { timeouts, phase: Phase::Idle, since: now }
     }
 
-    /// Bytes came; the first after a rest begin a head.
+    /// Records received bytes; the first ones on an idle connection start a request head.
     pub fn bytes(&mut self, now: Instant) {
         if self.phase == Phase::Idle {
             self.enter(now, Phase::Head);
         }
     }
 
-    /// A head has ended and its request is being answered. The body has a bound of its own.
+    /// Records a complete request head; the request is being answered. The body has its own time limit.
     pub fn request(&mut self, now: Instant) {
         self.enter(now, Phase::Answering);
     }
 
-    /// The answer has ended.
+    /// Records the end of the answer.
     pub fn answered(&mut self, now: Instant) {
         self.enter(now, Phase::Idle);
     }
 
-    /// Bytes of an answer have left. A rest begins with the last of them, however long ago the answer was made, and so does the
-    /// time of a head that came behind a request whose answer still leaves: nobody reads it until then.
+    /// Records that bytes of an answer were written. The idle time starts with the last of them, however long ago the
+    /// answer was created. So does the time limit of a head that follows a request whose answer is still being written,
+    /// because it is not read until then.
     pub fn sent(&mut self, now: Instant) {
         self.since = now;
     }
 
-    /// Whether no request is answered and no head has begun.
+    /// Whether no request is being answered and no request head has started.
     pub fn is_idle(&self) -> bool {
         self.phase == Phase::Idle
     }
 
-    /// When the connection is to be ended if nothing changes, and why; never while a request is answered.
+    /// Time at which the connection is closed unless its state changes, and the reason; `None` while a request is being
+    /// answered.
     pub fn deadline(&self) -> Option<(Instant, Overdue)> {
         match self.phase {
             Phase::Idle => Some((self.since + self.timeouts.idle, Overdue::Idle)),
--- a/crates/onyxstile-system/src/evidence.rs
+++ b/crates/onyxstile-system/src/evidence.rs
@@ -1,8 +1,9 @@
-//! Evidence about endpoints that relays share: each sees a small part of all calls. Pure.
+//! Failure evidence about endpoints, shared among relays because each relay sees only a small part of all calls.
+//! Performs no I/O.
 //!
-//! Relays tell one controller, the first in the order of addresses that they hear, what their calls show of endpoints that
-//! are under suspicion; it sums that up and tells all of them. A sum is evidence and no verdict: a relay takes it for its own
-//! expectation before its own calls say more (`balance::Health`).
+//! Relays report their call results for suspected endpoints to one controller, the first in address order that they can
+//! reach; it sums them up and returns the sums to all relays. A sum is evidence and not a verdict: a relay uses it as
+//! the prior until its own calls outweigh it (`balance::Health`).
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -12,28 +13,29 @@
 use crate::clock::Instant;
 use crate::tally::Tally;
 
-/// Endpoints in one message, so that no trouble makes it long; those with the most failures come first.
+/// Maximum number of endpoints in one message, which bounds its size during large failures; those with the most
+/// failures come first.
 pub const ENDPOINTS_PER_MESSAGE: usize = 16;
-/// Failures over all relays that make an endpoint a suspect: a single lost answer does not.
+/// Failures over all relays from which an endpoint is suspected; a single lost answer is not enough.
 const FAILED_MIN: f64 = 1.5;
-/// What a relay told this long ago is forgotten; it has faded to a thirtieth.
+/// Age at which a report is removed; it has then decayed to a thirtieth.
 const EXPIRE_AFTER: Duration = Duration::from_secs(25);
-/// No relay has more calls that count: what is told beyond is cut.
+/// Upper limit of a relay's call count; higher values are clamped.
 const COUNT_MAX: f32 = 1e6;
 
-/// Calls at one endpoint lately.
+/// Recent calls at one endpoint.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Evidence {
-    /// The endpoint's incarnation.
+    /// Incarnation of the endpoint.
     pub instance: String,
-    /// Calls that have failed, older ones worth less.
+    /// Failed calls, with older ones weighted less.
     pub failed: f32,
-    /// Calls that were answered, likewise.
+    /// Answered calls, with older ones weighted less.
     pub answered: f32,
 }
 
 impl Evidence {
-    /// A tally as it is told.
+    /// Converts a tally into its transmitted form.
     pub fn new(instance: &str, tally: Tally) -> Evidence {
         Evidence {
             instance: instance.to_owned(),
@@ -42,15 +44,15 @@
         }
     }
 
-    /// The tally, whatever was told.
+    /// Converts a report into a tally, with invalid values clamped.
     pub fn tally(&self, now: Instant) -> Tally {
-        // What is no number becomes 0.
+        // NaN becomes 0.
         let count = |reported: f32| f64::from(reported.clamp(0.0, COUNT_MAX).max(0.0));
         Tally::new(now, count(self.failed), count(self.answered))
     }
 }
 
-/// The evidence with the most failures, as much as one message holds.
+/// The evidence with the most failures, limited to one message.
 pub fn most_failed(mut evidence: Vec<Evidence>) -> Vec<Evidence> {
     evidence.sort_by(|left, right| {
         right.failed.total_cmp(&left.failed).then_with(|| left.instance.cmp(&right.instance))
@@ -59,14 +61,14 @@
     evidence
 }
 
-/// What relays have told, at the controller that sums it up.
+/// Reports of all relays, kept by the controller that sums them up.
 #[derive(Debug, Default)]
 pub struct EvidencePool {
     by_instance: HashMap<String, BTreeMap<[u8; 4], (Tally, Instant)>>,
 }
 
 impl EvidencePool {
-    /// A relay tells what its calls show now; that takes the place of what it told before.
+    /// Records a relay's current report, which replaces its previous one.
     pub fn note_report(&mut self, now: Instant, relay: [u8; 4], reported: &[Evidence]) {
         for evidence in reported.iter().take(ENDPOINTS_PER_MESSAGE) {
             let relays = self.by_instance.entry(evidence.instance.clone()).or_default();
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Forgets what was told long ago.
+    /// Removes old reports.
     pub fn tick(&mut self, now: Instant) {
         self.by_instance.retain(|_, relays| {
             relays.retain(|_, (_, reported)| now.since(*reported) < EXPIRE_AFTER);
@@ -82,7 +84,7 @@
         });
     }
 
-    /// The endpoints under suspicion, summed over all relays.
+    /// Suspected endpoints, summed over all relays.
     pub fn suspects(&self, now: Instant) -> Vec<Evidence> {
         let sum = |relays: &BTreeMap<[u8; 4], (Tally, Instant)>| {
             let mut sum = Tally::new(now, 0.0, 0.0);
@@ -94,7 +96,7 @@
         most_failed(suspects.map(|(instance, sum)| Evidence::new(instance, sum)).collect())
     }
 
-    /// A line for each suspect, for operators.
+    /// One status line per suspected endpoint, for operators.
     pub fn lines(&self, now: Instant) -> Vec<String> {
         let line = |evidence: Evidence| {
             let relays = self.by_instance.get(&evidence.instance).map_or(0, BTreeMap::len);
--- a/crates/onyxstile-system/src/feed_state.rs
+++ b/crates/onyxstile-system/src/feed_state.rs
@@ -1,4 +1,4 @@
-//! All that an agent has heard, so that a proxy that starts anew can be told the whole of it. Pure.
+//! Current state of an agent's subscription, from which a restarted proxy receives a full snapshot. Performs no I/O.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,22 +8,22 @@
 use crate::registry::{Instance, RELAY_TOMBSTONE_LIFETIME};
 use crate::wire::{Feed, PublishedState};
 
-/// News, in the order in which it came.
+/// An update, in order of arrival.
 #[derive(Debug, Clone)]
 pub enum FeedUpdate {
     /// A newer control state.
     State(PublishedState),
     /// Endpoints that changed.
     Endpoints(Vec<Instance>),
-    /// A majority of the controllers has been heard, and everything that they told is here.
+    /// A majority of the controllers has answered, and all their data has been received.
     Fresh,
-    /// How many relays there are.
+    /// Number of relays.
     Relays(u32),
-    /// What all relays' calls show of endpoints under suspicion.
+    /// Call results of all relays for suspected endpoints.
     Evidence(Vec<Evidence>),
 }
 
-/// What was heard.
+/// The received state.
 #[derive(Debug, Default)]
 pub struct FeedState {
     state: Option<PublishedState>,
@@ -33,7 +33,7 @@
 }
 
 impl FeedState {
-    /// Takes news in and adds to `feed` what a proxy that knows the rest has to be told.
+    /// Applies an update and adds to `feed` the changes that an up-to-date proxy needs.
     pub fn apply(&mut self, now: Instant, update: FeedUpdate, feed: &mut Feed) {
         match update {
             FeedUpdate::State(mut state) => {
@@ -43,7 +43,7 @@
                 self.state = Some(state);
             }
             FeedUpdate::Endpoints(mut endpoints) => {
-                // Each controller tells of all endpoints at first.
+                // Each controller sends all endpoints at first.
                 endpoints.retain(|instance| self.store(now, instance));
                 self.forget(now);
                 feed.endpoints.extend(endpoints);
@@ -52,23 +52,23 @@
                 self.fresh_since.get_or_insert(now);
             }
             FeedUpdate::Relays(count) => self.relays = Some(count),
-            // It is told anew as long as it holds.
+            // Evidence is sent again for as long as it applies.
             FeedUpdate::Evidence(evidence) => feed.evidence = evidence,
         }
         (feed.is_fresh, feed.relays) = (self.fresh_since.is_some(), self.relays);
     }
 
-    /// When a majority of the controllers had been heard, from the start of the clock; `None` before.
+    /// Time from the start of the clock until a majority of the controllers had answered; `None` before.
     pub fn fresh_after(&self) -> Option<Duration> {
         self.fresh_since.map(|since| since.since(Instant::default()))
     }
 
-    /// A feed that tells of nothing that changed.
+    /// A feed without changes.
     pub fn unchanged(&self) -> Feed {
         Feed { is_fresh: self.fresh_since.is_some(), relays: self.relays, ..Feed::default() }
     }
 
-    /// Holds a record; false if it says nothing that is not known.
+    /// Stores a record; returns false if it contains nothing new.
     fn store(&mut self, now: Instant, instance: &Instance) -> bool {
         let held = self.endpoints.get(&instance.id);
         let is_update = held.is_none_or(|(held, _)| is_newer(instance, held) && instance != held);
@@ -85,7 +85,7 @@
         self.endpoints.retain(|_, (instance, received)| !is_expired(instance, *received));
     }
 
-    /// Everything, for a proxy that knows nothing.
+    /// The full state, for a proxy without state.
     pub fn snapshot(&self) -> Feed {
         Feed {
             state: self.state.clone(),
@@ -97,7 +97,8 @@
     }
 }
 
-/// Whether a record of an incarnation supersedes another: it is further on its way, or was sent later.
+/// Whether a record of an incarnation supersedes another: it has a later stage, or the same stage and a later sequence
+/// number.
 pub fn is_newer(new: &Instance, held: &Instance) -> bool {
     (new.stage, new.sequence) >= (held.stage, held.sequence)
 }
--- a/crates/onyxstile-system/src/load.rs
+++ b/crates/onyxstile-system/src/load.rs
@@ -1,16 +1,16 @@
-//! What an endpoint tells of its load with its answers. Pure.
+//! Load reported by an endpoint with its answers. Performs no I/O.
 
-/// What an endpoint tells of its load (`Server-Load`).
+/// Load reported by an endpoint (`Server-Load`).
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Load {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
 }
 
 impl Load {
-    /// Reads running, waiting and slots, joined by commas.
+    /// Parses comma-separated running requests, waiting requests and slots.
     pub fn parse(header: &str) -> Option<Load> {
         let mut numbers = header.split(',').map(|number| number.trim().parse().ok());
         Some(Load { running: numbers.next()??, waiting: numbers.next()?? })
--- a/crates/onyxstile-system/src/prefix.rs
+++ b/crates/onyxstile-system/src/prefix.rs
@@ -1,17 +1,17 @@
-//! Which parts of prompts an endpoint is believed to hold in its cache. Pure.
+//! Estimate of the prompt parts in an endpoint's cache. Performs no I/O.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// One part of a prompt with all parts before it.
+/// One part of a prompt, identified together with all parts before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Part {
-    /// A hash over its id and those before it: a part is of use only behind the same parts.
+    /// Hash over the ids of this part and those before it: a cached part is usable only after the same parts.
     pub chain: u64,
-    /// Its tokens.
+    /// Number of tokens.
     pub tokens: u32,
 }
 
-/// Reads `Prompt-Prefix`: `ID:TOKENS` separated by commas, the ID in hex. What can't be read ends the list.
+/// Parses `Prompt-Prefix`: comma-separated `ID:TOKENS` with a hexadecimal ID. An invalid item ends the list.
 pub fn parse(header: &str) -> Vec<Part> {
     let mut chain = 0;
     let mut parts = Vec::new();
@@ -24,12 +24,12 @@
     parts
 }
 
-/// Tokens of all parts together.
+/// Total number of tokens.
 pub fn tokens(parts: &[Part]) -> u64 {
     parts.iter().map(|part| u64::from(part.tokens)).sum()
 }
 
-/// A least-recently-used estimate of one endpoint's cache.
+/// Least-recently-used estimate of one endpoint's cache.
 #[derive(Debug, Default)]
 pub struct Cache {
     parts: HashMap<u64, (u32, u64)>,
@@ -39,15 +39,15 @@
 }
 
 impl Cache {
-    /// Tokens at the front of a prompt whose parts are held, a session's part counted whole though it grows: what the choice of an
-    /// endpoint goes by, so that a session stays where it is.
+    /// Leading tokens of a prompt whose parts are cached. A session's part counts in full although it grows: this value
+    /// is used for choosing an endpoint, so that a session stays at its endpoint.
     pub fn held(&self, parts: &[Part]) -> u64 {
         let is_held = |part: &&Part| self.parts.contains_key(&part.chain);
         parts.iter().take_while(is_held).map(|part| u64::from(part.tokens)).sum()
     }
 
-    /// Tokens at the front of a prompt that were read before: of a session's part, which grows from turn to turn under one id,
-    /// as many as it had then.
+    /// Leading tokens of a prompt that were read before. Of a session's part, which grows from turn to turn under one
+    /// id, the previous length counts.
     pub fn read_before(&self, parts: &[Part]) -> u64 {
         let mut held = 0;
         for part in parts {
@@ -60,7 +60,7 @@
         held
     }
 
-    /// A prompt was sent there; `room` is what the endpoint's memory holds in tokens.
+    /// Records a prompt sent to the endpoint; `capacity` is the size of the endpoint's cache in tokens.
     pub fn note(&mut self, parts: &[Part], capacity: u64) {
         for part in parts {
             self.stamp += 1;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Forgets everything: the endpoint started anew.
+    /// Clears the estimate: the endpoint has restarted.
     pub fn clear(&mut self) {
         *self = Cache::default();
     }
--- a/crates/onyxstile-system/src/program.rs
+++ b/crates/onyxstile-system/src/program.rs
@@ -1,4 +1,5 @@
-//! Agent programs: their turns and budgets, where these are kept, and what one storage machine holds of them.
+//! Agent programs: their turns and budgets, their placement on storage machines, and the records of one storage
+//! machine.
 
 mod claims;
 mod index;
@@ -20,31 +21,31 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// One turn that was answered whole. It never changes.
+/// One completely answered turn. Immutable.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Turn {
-    /// The request id of the turn.
+    /// Request id of the turn.
     pub id: String,
-    /// The ids of the turns that it goes on from, the first one first.
+    /// Ids of the preceding turns, oldest first.
     pub ancestors: Vec<String>,
-    /// What the client sent.
+    /// Request body.
     pub input: Vec<u8>,
-    /// The data of each event, with a line feed behind each.
+    /// Data of each event, each followed by a line feed.
     pub output: Vec<u8>,
-    /// How long it is kept, in ms.
+    /// Retention time, in ms.
     pub retention_ms: u64,
-    /// When it ended, in ms of the time of day of the relay that served it.
+    /// End of the turn, in ms of wall-clock time at the relay that served it.
     pub ended_ms: u64,
 }
 
 impl Turn {
-    /// What it takes in memory, about: its contents and the ids that it names.
+    /// Approximate memory use, in bytes: contents and ids.
     pub fn bytes(&self) -> usize {
         self.input.len() + self.output.len() + self.id.len() * (self.ancestors.len() + 2)
     }
 }
 
-/// What a storage machine keeps.
+/// A record kept by a storage machine.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Record {
     /// A turn.
@@ -58,17 +59,17 @@
     },
 }
 
-/// Names a record.
+/// Key of a record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
 pub enum Key {
-    /// A turn's request id.
+    /// Request id of a turn.
     Turn(String),
-    /// A program and the request id of a claim.
+    /// Program and request id of a claim.
     ClaimEntry(String, String),
 }
 
 impl Key {
-    /// What the record is placed by.
+    /// The string that determines the record's placement.
     pub fn placed_by(&self) -> &str {
         match self {
             Key::Turn(id) => id,
@@ -78,7 +79,7 @@
 }
 
 impl Record {
-    /// Its key.
+    /// Key of the record.
     pub fn key(&self) -> Key {
         match self {
             Record::Turn(turn) => Key::Turn(turn.id.clone()),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Rises when the record changes.
+    /// Version, which increases when the record changes.
     pub fn version(&self) -> u8 {
         match self {
             Record::Turn(_) => 0,
--- a/crates/onyxstile-system/src/program/claims.rs
+++ b/crates/onyxstile-system/src/program/claims.rs
@@ -1,48 +1,48 @@
-//! Claims on a program's budget: one a turn, at its most until it is settled. Pure.
+//! Claims on a program's budget: one per turn, charged at its maximum until it is settled. Performs no I/O.
 //!
-//! A storage machine tells the claims that are open one by one and those that are settled as a sum with a digest, so that
-//! an answer does not grow with the turns of a program. Answers with one digest stand for the same claims; where they
-//! differ and their sums together don't fit, all claims are asked for.
+//! A storage machine returns open claims individually and settled claims as a sum with a digest, so that a reply does
+//! not grow with the number of turns of a program. Replies with equal digests cover the same claims. If digests differ
+//! and the sums together exceed the budget, all claims are requested.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// One turn's claim on the budget of its program.
+/// Claim of one turn on the budget of its program.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ClaimEntry {
-    /// The request id of the try.
+    /// Request id of the attempt.
     pub request: String,
-    /// The most tokens that it may generate.
+    /// Maximum number of tokens that the turn may generate.
     pub max_tokens: u64,
-    /// The tokens that it did generate, once that is known.
+    /// Number of tokens that the turn generated, once known.
     pub settled: Option<u64>,
 }
 
 impl ClaimEntry {
-    /// Rises when the claim changes: it is settled once.
+    /// Version, which increases when the claim is settled; that happens once.
     pub fn version(&self) -> u8 {
         u8::from(self.settled.is_some())
     }
 
-    /// What the budget has to bear for it.
+    /// Tokens that the claim takes from the budget.
     pub fn charge(&self) -> u64 {
         self.settled.unwrap_or(self.max_tokens)
     }
 }
 
-/// The sum of settled claims.
+/// Sum of settled claims.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Settled {
-    /// How many they are.
+    /// Number of claims.
     pub count: u32,
-    /// The tokens that they generated.
+    /// Tokens generated.
     pub tokens: u64,
-    /// Alike only for the same claims, whatever the order in which they came.
+    /// Digest of the claims, independent of their order.
     pub digest: u64,
 }
 
 impl Settled {
-    /// Adds a claim that is settled at `tokens`.
+    /// Adds a claim that was settled at `tokens`.
     pub fn add(&mut self, request: &str, tokens: u64) {
         self.count = self.count.saturating_add(1);
         self.tokens = self.tokens.saturating_add(tokens);
@@ -50,29 +50,30 @@
     }
 }
 
-/// What one storage machine knows of a program's claims.
+/// One storage machine's claims of a program.
 #[derive(Debug, Clone, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ClaimSummary {
     /// Claims that are not settled.
     pub open: Vec<ClaimEntry>,
-    /// The sum of the others.
+    /// Sum of the settled claims.
     pub settled: Settled,
 }
 
-/// Whether a turn may run.
+/// Whether the budget admits a turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BudgetDecision {
-    /// It fits the budget.
+    /// The turn fits the budget.
     Fits,
-    /// It does not.
+    /// The budget is exhausted.
     Exhausted,
-    /// The answers differ in what is settled: all claims have to be known.
+    /// The replies differ in their settled claims; all claims have to be requested.
     Inconclusive,
 }
 
-/// Whether a turn of at most `most` tokens fits a budget beside the claims that a quorum tells.
+/// Decides whether a turn of at most `max_tokens` tokens fits the budget, given the claims reported by a quorum.
 ///
-/// Where answers differ, the claims settled anywhere are no more than all sums together; if even these fit, so does the turn.
+/// If replies differ, the settled claims of all replies are at most the sum of all differing sums. If even that fits,
+/// the turn fits.
 pub fn admit(budget: u64, own: &str, max_tokens: u64, answers: &[ClaimSummary]) -> BudgetDecision {
     let mut open = Vec::new();
     let mut settled: Vec<Settled> = Vec::new();
@@ -92,14 +93,15 @@
     }
 }
 
-/// Whether a claim is a program's first by what a quorum tells: nothing was generated before, and no other turn is under way.
+/// Whether a claim is the first of its program according to a quorum: no tokens were generated before and no other turn
+/// is in progress.
 pub fn is_first(own: &str, answers: &[ClaimSummary]) -> bool {
     answers
         .iter()
         .all(|answer| answer.settled.tokens == 0 && answer.open.iter().all(|entry| entry.request == own))
 }
 
-/// Adds claims to those known, each request once; what is settled counts before what isn't.
+/// Merges claims into `claims`, one per request; a settled claim takes precedence over an open one.
 pub fn merge_claims(claims: &mut Vec<ClaimEntry>, entries: Vec<ClaimEntry>) {
     for entry in entries {
         match claims.iter_mut().find(|held| held.request == entry.request) {
@@ -110,12 +112,12 @@
     }
 }
 
-/// Whether a turn of at most `most` tokens fits a budget beside all other claims.
+/// Whether a turn of at most `max_tokens` tokens fits the budget besides all other claims.
 ///
-/// Of two turns that are reserved side by side at least one sees the other, for their quorums meet; both fit only if
-/// the budget holds both at their most.
+/// Of two turns that are reserved concurrently at least one sees the other's claim, because their quorums intersect.
+/// Both are admitted only if the budget covers the maximum of both.
 pub fn fits_budget(budget: u64, own: &str, max_tokens: u64, claims: &[ClaimEntry]) -> bool {
     let others = claims.iter().filter(|entry| entry.request != own).map(ClaimEntry::charge);
-    // A sum that is no number is over every budget.
+    // A saturated sum exceeds every budget.
     others.fold(max_tokens, u64::saturating_add) <= budget
 }
--- a/crates/onyxstile-system/src/program/index.rs
+++ b/crates/onyxstile-system/src/program/index.rs
@@ -1,5 +1,5 @@
-//! What one storage machine holds, as a view folded from records: claims whole, turns by where they stand in the log.
-//! A counter of changes lets others pull what they miss.
+//! Index of the records of one storage machine: claims in full, turns by their record number in the log. A change
+//! counter lets other machines fetch the records that they miss.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -7,24 +7,25 @@
 use super::{ClaimEntry, ClaimSummary, Key, Record, Settled, Turn};
 use crate::clock::Instant;
 
-/// Time beyond its retention that a turn is kept: clocks differ, and a chain's last turn is younger than its first.
+/// Time that a turn is kept beyond its retention, because clocks differ and the last turn of a chain is younger than
+/// the first.
 const RETENTION_SLACK: Duration = Duration::from_secs(30);
-/// A program without a new claim for this time is over.
+/// A program is removed after this time without a new claim.
 const PROGRAM_LIFETIME: Duration = Duration::from_secs(1800);
-/// Memory that a turn takes in the index: its id twice, and its places in two tables.
+/// Memory use of a turn in the index, in bytes: two copies of its id and an entry in two tables.
 const TURN_ENTRY_BYTES: usize = 250;
-/// Memory that a claim takes: its program's and its own id, some of them twice, and its places in two tables.
+/// Memory use of a claim, in bytes: program id and request id, some of them twice, and an entry in two tables.
 const CLAIM_ENTRY_BYTES: usize = 350;
 
-/// The number of a record in the log of its machine.
+/// Number of a record in the log of its machine.
 pub type RecordNumber = u64;
 
-/// What a record did to the index.
+/// Result of merging a record into the index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MergeResult {
-    /// It was new, or newer than what was held.
+    /// Whether the record was new or newer than the stored one.
     pub has_changed: bool,
-    /// A record that need not be kept any more: the older one, or this one if the same or a newer one is held.
+    /// Record that is no longer needed: the replaced one, or the merged one if the same or a newer one is stored.
     pub obsolete: Option<RecordNumber>,
 }
 
@@ -57,7 +58,7 @@
     last_claim_at: Instant,
 }
 
-/// Which turns and claims there are.
+/// Index of turns and claims.
 #[derive(Default)]
 pub struct RecordIndex {
     turns: HashMap<String, HeldTurn>,
@@ -68,22 +69,22 @@
 }
 
 impl RecordIndex {
-    /// The newest change.
+    /// Counter of the newest change.
     pub fn counter(&self) -> u64 {
         self.counter
     }
 
-    /// Bytes of memory that the index takes, about.
+    /// Approximate memory use of the index, in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.turns.len() * TURN_ENTRY_BYTES + self.claims * CLAIM_ENTRY_BYTES
     }
 
-    /// Turns and programs held.
+    /// Number of turns and of programs.
     pub fn sizes(&self) -> (usize, usize) {
         (self.turns.len(), self.programs.len())
     }
 
-    /// Takes in a record that stands in the log under `number`. `age` is how long ago it was written.
+    /// Merges a record that has the number `number` in the log; `age` is the time since it was written.
     pub fn merge(
         &mut self, now: Instant, age: Duration, record: &Record, number: RecordNumber,
     ) -> MergeResult {
@@ -138,7 +139,7 @@
         held.map_or_else(Vec::new, |held| held.claims.values().map(|claim| claim.entry.clone()).collect())
     }
 
-    /// The claims of a program, those that are settled as a sum.
+    /// Claims of a program, with the settled ones summed up.
     pub fn claim_summary(&self, program: &str) -> ClaimSummary {
         let Some(held) = self.programs.get(program) else { return ClaimSummary::default() };
         let entries = held.claims.values().map(|claim| &claim.entry);
@@ -146,7 +147,7 @@
         ClaimSummary { open, settled: held.settled }
     }
 
-    /// A claim.
+    /// Returns a claim.
     pub fn claim(&self, program: &str, request: &str) -> Option<&ClaimEntry> {
         self.held_claim(program, request).map(|held| &held.entry)
     }
@@ -155,12 +156,12 @@
         self.programs.get(program)?.claims.get(request)
     }
 
-    /// Where a turn stands in the log.
+    /// Record number of a turn.
     pub fn turn(&self, id: &str) -> Option<RecordNumber> {
         self.turns.get(id).map(|held| held.number)
     }
 
-    /// Whether a record of this version or a later one is held.
+    /// Whether this or a later version of a record is stored.
     pub fn holds(&self, key: &Key, version: u8) -> bool {
         match key {
             Key::Turn(id) => self.turns.contains_key(id),
@@ -170,7 +171,7 @@
         }
     }
 
-    /// At most `most` keys that changed after `counter`, oldest first, each with its version; and the last one's counter.
+    /// At most `most` keys changed after `counter`, oldest first, with their versions, and the counter of the last one.
     pub fn changed_since(&self, counter: u64, most: usize) -> (Vec<(Key, u8)>, u64) {
         let mut last = counter;
         let mut keys = Vec::new();
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Drops what its retention has ended for; returns the records that need not be kept any more.
+    /// Removes expired records; returns the numbers of the records that are no longer needed.
     pub fn expire(&mut self, now: Instant) -> Vec<RecordNumber> {
         let mut dropped = Vec::new();
         self.turns.retain(|_, held| {
--- a/crates/onyxstile-system/src/program/placement.rs
+++ b/crates/onyxstile-system/src/program/placement.rs
@@ -1,21 +1,22 @@
-//! Placement: the storage machines that hold a key, by rendezvous hashing over the agreed plan, with no more of them in
-//! one zone or region than the loss of it may take.
+//! Placement: the storage machines of a key, selected by rendezvous hashing over the agreed plan, with at most as many
+//! machines in a zone or region as its loss may take.
 
 use std::net::Ipv4Addr;
 
 use crate::storage_plan::{StorageNode, StoragePlan};
 use crate::tolerance::{Location, Tolerance};
 
-/// Machines that hold a key, and how many of them a quorum takes.
+/// Machines that store a key, and their quorum size.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Group {
-    /// The machines, the one with the highest hash first.
+    /// Machines in descending order of their hash.
     pub members: Vec<Ipv4Addr>,
-    /// How many have to answer; any two quorums meet, and one outlasts the losses that are tolerated.
+    /// Number of machines that have to answer. Any two quorums intersect, and a quorum remains after any tolerated
+    /// loss.
     pub quorum: usize,
 }
 
-/// The groups of a key: one for the plan's members and, while the plan changes, one for those before.
+/// Groups of a key: one for the plan's current members and, while the plan changes, one for the previous members.
 pub fn groups(plan: &StoragePlan, key: &str, tolerance: Tolerance) -> Vec<Group> {
     let mut groups = vec![group(&plan.current, key, tolerance)];
     if plan.is_changing() {
@@ -24,8 +25,9 @@
     groups
 }
 
-/// The member of a key's group to ask first for what it holds: one in `zone` if there is one, else the first by hash; none
-/// that `is_doubted`. While the plan changes those before are asked, for newcomers may hold nothing yet.
+/// Member of a key's group to query first: one in `zone` if possible, otherwise the first by hash; members for which
+/// `is_suspected` returns true are skipped. While the plan changes, the previous members are used, because new members
+/// may not have the records yet.
 pub fn nearest(
     plan: &StoragePlan, key: &str, tolerance: Tolerance, zone: &str, is_suspected: impl Fn(Ipv4Addr) -> bool,
 ) -> Option<Ipv4Addr> {
--- a/crates/onyxstile-system/src/program/quorum.rs
+++ b/crates/onyxstile-system/src/program/quorum.rs
@@ -1,4 +1,4 @@
-//! Counting answers towards a quorum of each of a key's groups. Pure.
+//! Counts replies towards a quorum in each group of a key. Performs no I/O.
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -7,7 +7,7 @@
 use crate::storage_plan::StoragePlan;
 use crate::tolerance::Tolerance;
 
-/// Who has answered a question about one key.
+/// Replies to a request about one key.
 #[derive(Debug, Clone)]
 pub struct Quorum {
     groups: Vec<Group>,
@@ -15,12 +15,12 @@
 }
 
 impl Quorum {
-    /// A question about `key` that nobody has answered.
+    /// Creates a request for `key` without replies.
     pub fn new(plan: &StoragePlan, key: &str, tolerance: Tolerance) -> Quorum {
         Quorum { groups: groups(plan, key, tolerance), answered: BTreeSet::new() }
     }
 
-    /// All machines to ask, each once.
+    /// All machines to query, without duplicates.
     pub fn members(&self) -> Vec<Ipv4Addr> {
         let mut members: Vec<Ipv4Addr> = self.groups.iter().flat_map(|group| group.members.clone()).collect();
         members.sort_unstable();
@@ -28,7 +28,7 @@
         members
     }
 
-    /// Counts an answer; true once each group has a quorum.
+    /// Counts a reply; returns true once each group has a quorum.
     pub fn count(&mut self, member: Ipv4Addr) -> bool {
         self.answered.insert(member);
         self.is_reached()
--- a/crates/onyxstile-system/src/program/turn_cache.rs
+++ b/crates/onyxstile-system/src/program/turn_cache.rs
@@ -1,11 +1,11 @@
-//! Turns held in memory, so that they need not be fetched or read again; the one used longest ago gives way.
+//! In-memory cache of turns with least-recently-used eviction, which avoids fetching or reading them again.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
 use super::Turn;
 
-/// Turns in memory, bounded in bytes.
+/// Turns in memory, limited in bytes.
 pub struct TurnCache {
     most_bytes: usize,
     bytes: usize,
@@ -15,12 +15,12 @@
 }
 
 impl TurnCache {
-    /// Holds at most `most_bytes` of turns.
+    /// Creates a cache for at most `most_bytes` bytes of turns.
     pub fn new(most_bytes: usize) -> TurnCache {
         TurnCache { most_bytes, bytes: 0, stamp: 0, turns: HashMap::new(), order: BTreeMap::new() }
     }
 
-    /// A turn, which counts as used.
+    /// Returns a turn and marks it as used.
     pub fn get(&mut self, id: &str) -> Option<Rc<Turn>> {
         let (turn, stamp) = self.turns.get_mut(id)?;
         self.stamp += 1;
@@ -30,7 +30,7 @@
         Some(turn.clone())
     }
 
-    /// Takes a turn in.
+    /// Adds a turn.
     pub fn insert(&mut self, turn: Rc<Turn>) {
         if self.turns.contains_key(&turn.id) {
             return;
--- a/crates/onyxstile-system/src/retry.rs
+++ b/crates/onyxstile-system/src/retry.rs
@@ -1,26 +1,26 @@
-//! The retry stage: for each destination, whether a failed call goes again, and when.
+//! Retry stage: for each destination, decides whether and when a failed call is sent again. Performs no I/O.
 //!
-//! A destination is a model endpoint or the service of a tool route. Calls in flight or awaiting a retry there are
-//! counted; a failed call's timer fires after T1 and then after doubled times, and at each firing it is resent with a
-//! chance that falls from 1 to [`Law::least_chance`] as the count passes thresholds that scale with the rate of first
-//! sends. Pure.
+//! A destination is a model endpoint or the service of a tool route. Calls in flight or awaiting a retry are counted
+//! per destination. The timer of a failed call fires after T1 and then after doubled times. At each firing the call is
+//! resent with a probability that falls from 1 to [`RetryPolicy::min_probability`] as the count passes thresholds that
+//! scale with the rate of first sends.
 
 use std::time::Duration;
 
 use crate::clock::Instant;
 
-/// What of the mechanism is open to choice.
+/// Parameters of the retry stage.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryPolicy {
-    /// The time after which a first timer fires, and the time that the lower threshold covers.
+    /// Time until the first timer fires (T1), and the time span that the lower threshold covers.
     pub first_timer: Duration,
-    /// The chance at and beyond the upper threshold.
+    /// Resend probability at and beyond the upper threshold.
     pub min_probability: f64,
-    /// The upper threshold as a multiple of the lower one.
+    /// Ratio of the upper to the lower threshold.
     pub threshold_ratio: f64,
-    /// Weight of a new sample in the average rate of first sends.
+    /// Weight of a new sample in the mean rate of first sends.
     pub rate_weight: f64,
-    /// The lower threshold is never below this count.
+    /// Minimum of the lower threshold, in calls.
     pub threshold_floor: f64,
 }
 
@@ -36,14 +36,14 @@
     }
 }
 
-/// How often the average rate takes a sample.
+/// Sampling interval of the rate of first sends.
 const SAMPLE_EVERY: Duration = Duration::from_millis(100);
-/// Weight of a new sample in the usual latency.
+/// Weight of a new sample in the mean latency.
 const LATENCY_WEIGHT: f64 = 0.05;
-/// The longest timer.
+/// Longest timer.
 const TIMER_MAX: Duration = Duration::from_secs(8);
 
-/// What the stage knows of one destination.
+/// Retry state of one destination.
 #[derive(Debug, Clone)]
 pub struct Destination {
     pending: u32,
@@ -56,7 +56,7 @@
 }
 
 impl Destination {
-    /// A destination that nothing was sent to; its rate starts at `slots` divided by T1.
+    /// Creates a destination without calls; its rate starts at `slots` divided by T1.
     pub fn new(now: Instant, slots: u32, policy: &RetryPolicy) -> Destination {
         Destination {
             pending: 0,
@@ -69,24 +69,24 @@
         }
     }
 
-    /// A call is sent for the first time.
+    /// Records the first send of a call.
     pub fn first_send(&mut self, now: Instant, policy: &RetryPolicy) {
         self.advance_sample(now, policy);
         self.sends_in_sample += 1;
         self.pending += 1;
     }
 
-    /// A call that was sent elsewhere before is sent here.
+    /// Records that a call which was sent elsewhere before is sent here.
     pub fn resend(&mut self) {
         self.pending += 1;
     }
 
-    /// A call that was counted has ended, answered or given up.
+    /// Records the end of a counted call, answered or given up.
     pub fn end(&mut self) {
         self.pending = self.pending.saturating_sub(1);
     }
 
-    /// A call was answered after `latency`.
+    /// Records an answered call and its latency.
     pub fn answered(&mut self, latency: Duration) {
         self.refusals_in_row = 0;
         let sample = latency.as_secs_f64();
@@ -97,15 +97,15 @@
         };
     }
 
-    /// A call was refused without having run. Endpoints state no wait, so one is derived: T1, doubled with each refusal
-    /// in a row.
+    /// Records a call that was refused without being executed. Endpoints do not state a retry time, so it is derived:
+    /// T1, doubled with each consecutive refusal.
     pub fn refused(&mut self, now: Instant, first_timer: Duration) {
         let wait = timer(first_timer, self.refusals_in_row.min(4)).min(Duration::from_secs(1));
         self.refusals_in_row += 1;
         self.held_until = self.held_until.max(now + wait);
     }
 
-    /// Until when all sends are held.
+    /// Time until which all sends are held.
     pub fn held_until(&self) -> Instant {
         self.held_until
     }
@@ -115,7 +115,7 @@
         self.pending
     }
 
-    /// The chance that a firing resends a call.
+    /// Probability that a firing resends a call.
     pub fn resend_probability(&mut self, now: Instant, policy: &RetryPolicy) -> f64 {
         self.advance_sample(now, policy);
         let scaled = self.rate_per_s * policy.first_timer.as_secs_f64().max(self.mean_latency_s);
@@ -125,7 +125,7 @@
         (1.0 - (1.0 - policy.min_probability) * excess).clamp(policy.min_probability, 1.0)
     }
 
-    /// When a timer that is due at `due` may fire: a firing inside a wait moves to its end.
+    /// Time at which a timer that is due at `due` fires: a firing within a hold moves to its end.
     pub fn fire_time(&self, due: Instant) -> Instant {
         due.max(self.held_until)
     }
@@ -147,7 +147,7 @@
     }
 }
 
-/// The timer before the retry number `firing`, counted from 0.
+/// Time before retry number `firing`, counted from 0.
 pub fn timer(first: Duration, firing: u32) -> Duration {
     first.saturating_mul(1 << firing.min(16)).min(TIMER_MAX)
 }
--- a/crates/onyxstile-system/src/slots.rs
+++ b/crates/onyxstile-system/src/slots.rs
@@ -1,12 +1,13 @@
-//! The relay's slots: how many calls may be out at once, and how many of them one destination may hold. Pure.
+//! Call slots of a relay: the number of concurrent calls, and how many of them one destination may hold. Performs no
+//! I/O.
 //!
-//! A destination holds at most half of the slots, fewer while its calls run past their aim; the cap binds only while
-//! calls to others wait for a slot.
+//! A destination may hold at most half of the slots, and fewer while its calls exceed their latency target. The limit
+//! applies only while calls to other destinations wait for a slot.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// While calls run past their aim, a destination's cap falls to this share of it.
+/// Factor by which a destination's limit is reduced while all its calls exceed their latency target.
 const LATE_CAP_FACTOR: f64 = 0.5;
 /// Weight of a call in a destination's share of late calls.
 const LATE_WEIGHT: f64 = 0.1;
@@ -27,17 +28,17 @@
 }
 
 impl<K: Hash + Eq + Clone> Slots<K> {
-    /// `total` slots, all free.
+    /// Creates `total` free slots, at least two.
     pub fn new(total: u32) -> Slots<K> {
         Slots { total: total.max(2), taken: 0, held: HashMap::new(), waiting: HashMap::new() }
     }
 
-    /// How many slots there are.
+    /// Number of slots.
     pub fn total(&self) -> u32 {
         self.total
     }
 
-    /// Takes a slot for a call to `destination`, if one is to be had.
+    /// Takes a slot for a call to `destination`; returns false if none is available.
     pub fn take(&mut self, destination: &K) -> bool {
         if self.taken >= self.total || (self.others_wait(destination) && self.is_at_cap(destination)) {
             return false;
@@ -47,7 +48,7 @@
         true
     }
 
-    /// Gives a slot back; `is_late` says whether the call ran past its aim.
+    /// Releases a slot; `is_late` states whether the call exceeded its latency target.
     pub fn release(&mut self, destination: &K, is_late: bool) {
         self.taken = self.taken.saturating_sub(1);
         let Some(held) = self.held.get_mut(destination) else { return };
@@ -58,12 +59,12 @@
         }
     }
 
-    /// A call to `destination` begins to wait for a slot.
+    /// Records that a call to `destination` waits for a slot.
     pub fn wait(&mut self, destination: &K) {
         *self.waiting.entry(destination.clone()).or_default() += 1;
     }
 
-    /// A call to `destination` waits no more.
+    /// Records that a call to `destination` no longer waits.
     pub fn stop_waiting(&mut self, destination: &K) {
         if let Some(count) = self.waiting.get_mut(destination) {
             *count -= 1;
--- a/crates/onyxstile-system/src/sse.rs
+++ b/crates/onyxstile-system/src/sse.rs
@@ -1,27 +1,27 @@
-//! Splits a stream's bytes into events (`text/event-stream`). Pure.
+//! Splits a stream's bytes into events (`text/event-stream`). Performs no I/O.
 
-/// One event as it came.
+/// One received event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// All its bytes, with the empty line that ends it.
+    /// All bytes of the event, including the terminating empty line.
     pub bytes: Vec<u8>,
-    /// Its id, if it has one.
+    /// Event id, if present.
     pub id: Option<String>,
-    /// Its data; several lines are joined by line feeds.
+    /// Event data; multiple lines are joined by line feeds.
     pub data: Option<Vec<u8>>,
 }
 
-/// Most bytes of one event; a stream with a longer one is broken.
+/// Maximum size of one event, in bytes; a stream with a larger one is invalid.
 const EVENT_BYTES_MAX: usize = 1024 * 1024;
 
-/// Bytes that have come and are no whole event yet.
+/// Received bytes that do not form a complete event yet.
 #[derive(Debug, Default)]
 pub struct Splitter {
     rest: Vec<u8>,
 }
 
 impl Splitter {
-    /// Takes bytes in and returns the events that are whole.
+    /// Adds received bytes and returns the events that are complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<Event> {
         self.rest.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -34,18 +34,18 @@
         events
     }
 
-    /// Whether no event has been begun.
+    /// Whether no event has started.
     pub fn is_empty(&self) -> bool {
         self.rest.is_empty()
     }
 
-    /// Whether the event that has been begun is longer than any may be.
+    /// Whether the incomplete event exceeds the maximum size.
     pub fn is_over_limit(&self) -> bool {
         self.rest.len() > EVENT_BYTES_MAX
     }
 }
 
-/// The length of the first event with the empty line behind it.
+/// Length of the first event, including the terminating empty line.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
--- a/crates/onyxstile-system/src/stream_timing.rs
+++ b/crates/onyxstile-system/src/stream_timing.rs
@@ -1,48 +1,49 @@
-//! How fast the model endpoints of one service read prompts and write events, learnt from its streams. Pure.
+//! Reading and writing speed of the model endpoints of one service, estimated from its streams. Performs no I/O.
 //!
-//! A turn that endpoints were idle for takes `first_ms`, then a time for each prompt token that has to be read and one for each
-//! event. Turns that found an endpoint lightly loaded show these times; others count little, so that a service under load for
-//! long does not pass for a slow one. Priors stand for some tens of calls.
+//! A turn at an idle endpoint takes a constant time, plus a time for each prompt token that has to be read and one for
+//! each event. Turns at lightly loaded endpoints provide these times; others have a low weight, so that a service under
+//! long load is not mistaken for a slow one. The priors count for a few calls.
 
 use crate::load::Load;
 
-/// Reading before anything is known, in ms a token: of the order of a large model on one accelerator.
+/// Prior reading time, in ms per token: the order of magnitude of a large model on one accelerator.
 const PRIOR_TOKEN_MS: f64 = 1.0 / 38.0;
-/// The time of a first event beside reading, before anything is known, in ms.
+/// Prior of the constant part of the time to the first event, in ms.
 const PRIOR_FIRST_MS: f64 = 10.0;
-/// The time of an event before anything is known, in ms: rather slow, for faster events show at any load and slower ones at idle endpoints only.
+/// Prior time per event, in ms. It is rather high because faster events are measured at any load, slower ones only at
+/// idle endpoints.
 const PRIOR_EVENT_MS: f64 = 20.0;
-/// Events in a turn before anything is known.
+/// Prior number of events in a turn.
 const PRIOR_EVENTS: f64 = 10.0;
-/// Tokens that a turn has read anew before anything is known.
+/// Prior number of tokens that a turn has to read.
 const PRIOR_NEW_TOKENS: f64 = 1000.0;
-/// Calls that the priors stand for.
+/// Number of calls that the priors count for.
 const PRIOR_CALLS: f64 = 2.0;
-/// What a call is still worth when the next has come that counts in full: some fifty count.
+/// Factor by which a call's weight falls with each further call of full weight; about fifty calls count.
 const CALL_DECAY: f64 = 0.98;
-/// A turn counts by a quarter where so many others are at work at its endpoint, and less with the fourth power of their number:
-/// what it shows then is how long others make it wait.
+/// Number of other requests at an endpoint at which a turn has a weight of a quarter; the weight falls with the fourth
+/// power of that number, because the time then consists of waiting for others.
 const QUARTER_WEIGHT_LOAD: f64 = 3.0;
-/// What events count at least that are faster than what is known: no load makes them so.
+/// Minimum weight of events that are faster than the estimate: load does not make events faster.
 const FASTER_WEIGHT_MIN: f64 = 0.05;
-/// What a call counts whose unread tokens are a guess.
+/// Weight of a call whose number of unread tokens is estimated.
 const ESTIMATE_WEIGHT: f64 = 0.2;
-/// A time beyond this many times what is expected is cut: it shows trouble, not speed.
+/// Times beyond this multiple of the expected time are clamped: they are caused by failures, not by speed.
 const TIME_FACTOR_MAX: f64 = 4.0;
-/// The part of events that are faster than what is taken for the time of one at an idle endpoint.
+/// Quantile of the event times that is used as the time of an event at an idle endpoint.
 const QUANTILE: f64 = 0.25;
-/// The largest step of the quantile for one sample, as a part of it.
+/// Largest relative step of the quantile estimate for one sample.
 const QUANTILE_STEP: f64 = 0.15;
-/// Its smallest step.
+/// Smallest relative step of the quantile estimate.
 const QUANTILE_STEP_MIN: f64 = 0.02;
-/// Learnt times stay within this factor of their priors, whatever endpoints show.
+/// Estimates stay within this factor of their priors, whatever endpoints report.
 const RANGE: f64 = 64.0;
-/// Calls before what was learnt is acted on.
+/// Number of calls before the estimates are used.
 const WARMUP_CALLS: f64 = 15.0;
-/// Weight of a turn in the usual count of events and of tokens.
+/// Weight of a turn in the mean number of events and of tokens.
 const MEAN_WEIGHT: f64 = 0.02;
 
-/// What one service's streams have shown.
+/// Measurements of one service's streams.
 #[derive(Debug, Clone)]
 pub struct StreamTiming {
     reading: LinearFit,
@@ -70,7 +71,8 @@
 }
 
 impl StreamTiming {
-    /// A first event came after `ms` where `tokens` had to be read; `load` is what the endpoint told with it.
+    /// Records that a first event arrived after `ms` where `tokens` tokens had to be read; `load` is the load reported
+    /// with it.
     pub fn note_first_event(&mut self, tokens: f64, is_sure: bool, ms: f64, load: Option<Load>) {
         let weight = weight(load) * if is_sure { 1.0 } else { ESTIMATE_WEIGHT };
         let capped =
@@ -81,7 +83,7 @@
         self.new_tokens += MEAN_WEIGHT * (tokens - self.new_tokens);
     }
 
-    /// `count` events came in `ms`.
+    /// Records `count` events that arrived within `ms`.
     pub fn note_events(&mut self, count: u32, ms: f64, load: Option<Load>) {
         let sample = ms / f64::from(count.max(1));
         let step = (1.0 / (self.samples + 1.0)).clamp(QUANTILE_STEP_MIN, QUANTILE_STEP);
@@ -94,38 +96,38 @@
         self.event_ms = (self.event_ms * factor).clamp(PRIOR_EVENT_MS / RANGE, PRIOR_EVENT_MS * RANGE);
     }
 
-    /// A turn ended whole after `events`.
+    /// Records a complete turn of `events` events.
     pub fn note_turn(&mut self, events: u32) {
         self.events += MEAN_WEIGHT * (f64::from(events) - self.events);
     }
 
-    /// Whether enough calls were seen for the times to be those of these endpoints.
+    /// Whether enough calls were measured for the estimates to describe these endpoints.
     pub fn is_warmed_up(&self) -> bool {
         self.samples >= WARMUP_CALLS
     }
 
-    /// The time of reading a token, in ms.
+    /// Reading time per token, in ms.
     pub fn token_ms(&self) -> f64 {
         self.reading.slope().unwrap_or(PRIOR_TOKEN_MS).clamp(PRIOR_TOKEN_MS / RANGE, PRIOR_TOKEN_MS * RANGE)
     }
 
-    /// The time of an event at an idle endpoint, in ms.
+    /// Time per event at an idle endpoint, in ms.
     pub fn event_ms(&self) -> f64 {
         self.event_ms
     }
 
-    /// The time of a first event at an idle endpoint that has to read `tokens`, in ms.
+    /// Time to the first event at an idle endpoint that has to read `tokens` tokens, in ms.
     pub fn first_event_ms(&self, tokens: f64) -> f64 {
         let first = self.reading.mean_y() + (tokens - self.reading.mean_x()) * self.token_ms();
         first.max(PRIOR_FIRST_MS / RANGE)
     }
 
-    /// The time for which a usual turn is read, in ms.
+    /// Mean reading time of a turn, in ms.
     pub fn mean_reading_ms(&self) -> f64 {
         self.new_tokens * self.token_ms()
     }
 
-    /// The time in which a usual turn's events are written at an idle endpoint, in ms.
+    /// Mean time in which a turn's events are written at an idle endpoint, in ms.
     pub fn mean_writing_ms(&self) -> f64 {
         self.events * self.event_ms
     }
@@ -137,7 +139,7 @@
     (1.0 + (others / QUARTER_WEIGHT_LOAD).powi(2)).powi(-2)
 }
 
-/// A line through weighted points, by least squares.
+/// Weighted least-squares line.
 #[derive(Debug, Clone, Default)]
 struct LinearFit {
     weight: f64,
@@ -170,7 +172,7 @@
         self.y / self.weight
     }
 
-    /// `None` where all points have one `x`.
+    /// Slope, or `None` if all points have the same `x`.
     fn slope(&self) -> Option<f64> {
         let variance = self.xx - self.x * self.mean_x();
         (variance > self.weight).then(|| (self.xy - self.x * self.mean_y()) / variance)
--- a/crates/onyxstile-system/src/tolerance.rs
+++ b/crates/onyxstile-system/src/tolerance.rs
@@ -1,52 +1,52 @@
-//! What may be lost at one time, and which machines bear such a loss together. Pure.
+//! Tolerated simultaneous losses, and the selection of machine groups that survive them. Performs no I/O.
 //!
-//! Guarantee: where the places of the machines allow it, a group of [`Tolerance::group_size`] that [`Tolerance::spread`]
-//! chose keeps a majority whichever machines, zones or regions are lost within the tolerance.
+//! Guarantee: where the locations of the machines allow it, a group of [`Tolerance::group_size`] selected by
+//! [`Tolerance::select_group`] keeps a majority whichever machines, zones or regions are lost within the tolerance.
 
 use std::collections::BTreeMap;
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::Deserialize;
 
-/// What may be lost at one time while every rule still holds: so many machines, or zones, or regions.
+/// Losses that may occur simultaneously without violating a guarantee: a number of machines, zones or regions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Tolerance {
     /// Machines whose `counts_for_quorum` is true.
     pub machines: usize,
-    /// Whole zones; 0 if only machines are meant.
+    /// Entire zones; 0 if only machines are tolerated.
     pub zones: usize,
-    /// Whole regions; 0 if only machines or zones are meant.
+    /// Entire regions; 0 if only machines or zones are tolerated.
     pub regions: usize,
 }
 
-/// Where a machine stands.
+/// Location of a machine.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
 pub struct Location {
-    /// Its region.
+    /// Region.
     pub region: String,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
 }
 
 impl Tolerance {
-    /// The loss of any `machines` machines.
+    /// Tolerates the loss of any `machines` machines.
     pub fn of_machines(machines: usize) -> Tolerance {
         Tolerance { machines, ..Tolerance::default() }
     }
 
-    /// The most members that a group loses at one time.
+    /// Maximum number of group members that are lost simultaneously.
     pub fn losses(&self) -> usize {
         self.machines.max(self.zones).max(self.regions)
     }
 
-    /// Members of a group whose majority outlasts that loss.
+    /// Size of a group that keeps a majority after that loss.
     pub fn group_size(&self) -> usize {
         2 * self.losses() + 1
     }
 
-    /// Chooses a group from candidates in the order of their preference: their indices, best first. Fewer are chosen
-    /// only if there are fewer candidates; the caps of zones and regions are exceeded only if no group can keep them.
+    /// Selects a group from candidates in order of preference; returns their indices, best first. Fewer are selected
+    /// only if there are fewer candidates; the limits per zone and region are exceeded only if no group can meet them.
     pub fn select_group(&self, candidates: &[&Location]) -> Vec<usize> {
         let size = self.group_size().min(candidates.len());
         let mut chosen = self.select_within_caps(candidates);
@@ -58,12 +58,12 @@
         chosen
     }
 
-    /// Whether a group can be made of machines at these places that keeps its majority through every loss.
+    /// Whether machines at these locations can form a group that keeps its majority after every tolerated loss.
     pub fn can_be_met_by(&self, locations: &[&Location]) -> bool {
         self.select_within_caps(locations).len() >= self.group_size()
     }
 
-    /// Whether a majority of all these machines, taken as one group, outlasts every loss of zones and regions.
+    /// Whether a group of all these machines keeps its majority after every tolerated loss of zones and regions.
     pub fn keeps_majority(&self, locations: &[&Location]) -> bool {
         let spared = locations.len().saturating_sub(1) / 2;
         let zones = counts_by(locations, |location| (&location.region, &location.zone));
@@ -71,14 +71,14 @@
         sum_of_largest(zones, self.zones) <= spared && sum_of_largest(regions, self.regions) <= spared
     }
 
-    /// Whether the loss of machines at these places is one that has to be borne.
+    /// Whether losing the machines at these locations is within the tolerance.
     pub fn covers(&self, lost: &[&Location]) -> bool {
         let zones = counts_by(lost, |location| (&location.region, &location.zone)).len();
         let regions = counts_by(lost, |location| &location.region).len();
         lost.len() <= self.machines || zones <= self.zones || regions <= self.regions
     }
 
-    /// Indices of the first candidates that fill a group without more in a zone or a region than may be lost.
+    /// Indices of the first candidates that form a group without exceeding the limits per zone and region.
     fn select_within_caps(&self, candidates: &[&Location]) -> Vec<usize> {
         let zone_cap = self.losses().checked_div(self.zones).unwrap_or(usize::MAX);
         let region_cap = self.losses().checked_div(self.regions).unwrap_or(usize::MAX);
@@ -101,7 +101,7 @@
     }
 }
 
-/// How many stand in each place of a kind.
+/// Number of machines for each value of the key.
 fn counts_by<'a, K: Ord>(locations: &[&'a Location], key: impl Fn(&'a Location) -> K) -> Vec<usize> {
     let mut counts: BTreeMap<K, usize> = BTreeMap::new();
     for location in locations {
@@ -110,7 +110,7 @@
     counts.into_values().collect()
 }
 
-/// The sum of the `most` largest counts.
+/// Sum of the `most` largest counts.
 fn sum_of_largest(mut counts: Vec<usize>, most: usize) -> usize {
     counts.sort_unstable_by_key(|count| std::cmp::Reverse(*count));
     counts.into_iter().take(most).sum()
--- a/crates/onyxstile-system/tests/admission.rs
+++ b/crates/onyxstile-system/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which programs may begin while endpoints are busy.
+//! Admission of new programs while endpoints are busy.
 
 mod support;
 
@@ -9,14 +9,14 @@
 use onyxstile_system::load::Load;
 use support::endpoints::{at, prompt, relay};
 
-/// The usual time of a turn at an idle endpoint, in ms.
+/// Typical time of a turn at an idle endpoint, in ms.
 const TURN_MS: f64 = 180.0;
 
 fn request(name: &str, priority: u8) -> AdmissionRequest<'_> {
     AdmissionRequest { name, priority, remaining_ms: Some(4000.0) }
 }
 
-/// How many of 1,000 programs may begin.
+/// Number of admitted programs out of 1,000.
 fn admitted_count(admission: &mut Admission, now_ms: u64, priority: u8) -> usize {
     let names: Vec<String> = (0..1000).map(|number| format!("program-{number}")).collect();
     names
@@ -25,7 +25,7 @@
         .count()
 }
 
-/// Streams that have taken so many times their idle time for some seconds.
+/// Admission state after streams have taken `slowdown` times their idle time for `seconds` seconds.
 fn slowed_admission(slowdown: f64, seconds: u64) -> Admission {
     let mut admission = Admission::default();
     for step in 0..seconds * 10 {
@@ -36,15 +36,19 @@
 }
 
 #[test]
-fn all_begin_while_streams_are_near_their_idle_time() {
+fn all_programs_are_admitted_near_the_idle_time() {
     for priority in 0..4 {
-        assert_eq!(admitted_count(&mut Admission::default(), 0, priority), 1000, "nothing is known yet");
+        assert_eq!(
+            admitted_count(&mut Admission::default(), 0, priority),
+            1000,
+            "nothing has been measured yet"
+        );
         assert_eq!(admitted_count(&mut slowed_admission(1.8, 20), 20_000, priority), 1000);
     }
 }
 
 #[test]
-fn a_less_urgent_class_never_has_the_larger_part_and_none_is_shut_out() {
+fn less_urgent_classes_have_smaller_nonzero_fractions() {
     for percent in 1..=100 {
         let parts: Vec<f64> =
             (0..4).map(|priority| admitted_fraction(f64::from(percent) / 100.0, priority)).collect();
@@ -52,11 +56,14 @@
         assert!(parts.iter().all(|part| *part > 0.0 && *part <= 1.0));
     }
     let mut overloaded = slowed_admission(8.0, 30);
-    assert!((10..100).contains(&admitted_count(&mut overloaded, 30_000, 0)), "recovery has to show");
+    assert!(
+        (10..100).contains(&admitted_count(&mut overloaded, 30_000, 0)),
+        "a few programs have to be admitted so that recovery is noticed"
+    );
 }
 
 #[test]
-fn all_relays_and_all_tries_draw_alike() {
+fn all_relays_and_attempts_decide_alike() {
     let (mut one, mut other) = (slowed_admission(4.0, 2), slowed_admission(4.0, 2));
     let mut refused = 0;
     for number in 0..200 {
@@ -69,7 +76,7 @@
 }
 
 #[test]
-fn the_part_that_begins_follows_the_load_both_ways() {
+fn admitted_fraction_follows_the_load_in_both_directions() {
     let mut admission = slowed_admission(5.0, 4);
     let under_load = admitted_count(&mut admission, 4000, 1);
     assert!(under_load < 500, "{under_load} of 1000 begin");
@@ -81,25 +88,30 @@
 }
 
 #[test]
-fn a_program_whose_time_is_over_gives_way_only_under_load() {
+fn a_late_program_is_refused_only_under_load() {
     let late = AdmissionRequest { name: "program", priority: 0, remaining_ms: Some(0.0) };
     assert_eq!(Admission::default().check(at(0), late, TURN_MS), None);
     assert!(slowed_admission(5.0, 1).check(at(1000), late, TURN_MS).is_some());
 }
 
 #[test]
-fn a_silent_endpoint_is_no_load() {
+fn a_silent_endpoint_does_not_count_as_load() {
     let mut admission = slowed_admission(1.0, 2);
     admission.wait(at(2000), 40.0);
-    assert_eq!(admitted_count(&mut admission, 5000, 1), 1000, "one call of many is out for three seconds");
+    assert_eq!(
+        admitted_count(&mut admission, 5000, 1),
+        1000,
+        "one call of many has been in flight for three seconds"
+    );
     admission.stop_waiting(at(2000));
     assert!((admission.slowdown(at(2000)) - 1.0).abs() < 0.01);
 }
 
-/// A program that waits before it begins ends late: a refused client that came back after a second and was let in had lost
-/// the time that it needed (kartli-relay, load 6: 341 of 1,082 programs late; 26 with a short wait).
+/// A program that waits before it begins ends late. With a retry time of one second, admitted clients no longer had
+/// enough time: 341 of 1,082 programs were late in a load test at six times the usual load, and 26 with a short retry
+/// time.
 #[test]
-fn who_is_refused_is_told_to_come_back_soon() {
+fn refused_programs_get_a_short_retry_time() {
     let mut admission = slowed_admission(9.0, 10);
     let names: Vec<String> = (0..200).map(|number| format!("program-{number}")).collect();
     let waits: Vec<Duration> =
@@ -108,7 +120,7 @@
     assert!(waits.iter().all(|wait| !wait.is_zero() && *wait <= Duration::from_millis(100)));
 }
 
-/// Streams that take five times their idle time, at endpoints that told a load.
+/// A relay whose streams take several times their idle time, at endpoints that report `load`.
 fn relay_under_load(load: Load) -> Endpoints {
     let mut relay = relay("z0", 2);
     let parts = prompt(1, 1);
@@ -130,21 +142,21 @@
     relay
 }
 
-/// A refusal while under half of the places are taken and nothing waits would be a place left empty.
+/// A refusal while less than half of the slots is taken and no request waits would leave a slot unused.
 #[test]
-fn nobody_is_refused_while_endpoints_have_room() {
+fn no_program_is_refused_while_endpoints_have_capacity() {
     let now = at(200 * 20);
     let refused = |mut relay: Endpoints| {
         let names: Vec<String> = (0..200).map(|number| format!("program-{number}")).collect();
         names.iter().filter(|name| relay.check_admission(now, "llm", request(name, 1)).is_some()).count()
     };
-    let roomy = relay_under_load(Load { running: 6, waiting: 0 });
+    let lightly_loaded = relay_under_load(Load { running: 6, waiting: 0 });
     assert!(
-        roomy.slowdown(now, "llm") > 3.0,
+        lightly_loaded.slowdown(now, "llm") > 3.0,
         "streams are slow for another reason: {}",
-        roomy.slowdown(now, "llm")
+        lightly_loaded.slowdown(now, "llm")
     );
-    assert_eq!(refused(roomy), 0);
+    assert_eq!(refused(lightly_loaded), 0);
     assert!(refused(relay_under_load(Load { running: 20, waiting: 3 })) > 100);
-    assert_eq!(refused(relay("z0", 2)), 0, "a relay that knows nothing");
+    assert_eq!(refused(relay("z0", 2)), 0, "a relay without measurements");
 }
--- a/crates/onyxstile-system/tests/bad_endpoints.rs
+++ b/crates/onyxstile-system/tests/bad_endpoints.rs
@@ -1,5 +1,6 @@
-//! Endpoints that break off, answer for another request, without a seal, twice, or not at all: what may have run and may not
-//! run twice is never sent again, and nothing that is not the endpoint's whole answer looks like one.
+//! Misbehaving endpoints: connections closed early, answers with a wrong id, without a seal, duplicated, or missing. A
+//! call that may have run and must not run twice is never resent, and only a complete answer of the endpoint is
+//! forwarded as one.
 
 mod support;
 
@@ -15,40 +16,40 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// What an endpoint does with a request.
+/// Behaviour of an endpoint on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Behaviour {
-    /// Answers as it should.
+    /// Answers correctly.
     Correct,
-    /// Runs it and closes the connection without a word.
+    /// Executes the request and closes the connection without an answer.
     ClosesConnection,
-    /// Answers for another request.
+    /// Answers with another request's id.
     WrongId,
     /// Answers without a seal.
     MissingSeal,
-    /// Breaks off in the midst of the body.
+    /// Closes the connection in the middle of the body.
     Truncated,
-    /// Sends bytes that are no answer.
+    /// Sends bytes that are not a valid answer.
     Malformed,
-    /// Answers well, and then once more for nobody.
+    /// Answers correctly and then sends a second, unrequested answer.
     Duplicate,
-    /// Says that it did not run it.
+    /// States that the request was not executed.
     NotExecuted,
     /// Answers 500 with its seal.
     ServerError,
-    /// Answers without a length and ends the connection.
+    /// Answers without a length and closes the connection.
     Unframed,
-    /// Begins an answer without a length and resets the connection.
+    /// Starts an answer without a length and resets the connection.
     UnframedReset,
-    /// Runs it and resets the connection, not a byte answered.
+    /// Executes the request and resets the connection before answering.
     ResetsConnection,
-    /// Resets the connection in the midst of the answer's head.
+    /// Resets the connection in the middle of the answer's head.
     ResetsInHead,
-    /// Answers well and resets the connection some moments later, while it rests.
+    /// Answers correctly and resets the connection shortly afterwards, while it is idle.
     ResetsWhenIdle,
 }
 
-/// What leaves open whether a request has run.
+/// Behaviours after which it is unknown whether a request was executed.
 const MAY_HAVE_RUN: [Behaviour; 8] = [
     Behaviour::ClosesConnection,
     Behaviour::WrongId,
@@ -60,7 +61,8 @@
     Behaviour::ResetsInHead,
 ];
 
-/// Both endpoints: the first arrival of a request meets the mood, the next ones are answered well.
+/// State of both endpoints: the first arrival of a request meets the configured behaviour, later ones are answered
+/// correctly.
 struct Script {
     behaviour: Cell<Behaviour>,
     runs: RefCell<BTreeMap<String, u32>>,
@@ -71,7 +73,7 @@
         self.runs.borrow().get(id).copied().unwrap_or(0)
     }
 
-    /// The mood that a request meets; whatever is not refused runs.
+    /// Returns the behaviour for a request and counts its execution, unless it is refused.
     fn next_behaviour(&self, id: &str) -> Behaviour {
         let behaviour = if self.runs(id) > 0 { Behaviour::Correct } else { self.behaviour.get() };
         if behaviour != Behaviour::NotExecuted {
@@ -85,7 +87,7 @@
     listen(move |stream| serve(stream, script.clone())).await
 }
 
-/// An endpoint that has all the connections it takes: it resets each new one.
+/// An endpoint at its connection limit: it resets each new connection.
 async fn full_endpoint() -> SocketAddrV4 {
     listen(|stream| async move { reset(&stream) }).await
 }
@@ -104,10 +106,10 @@
         let bytes = match behaviour {
             Behaviour::Correct => complete,
             Behaviour::ClosesConnection => return,
-            Behaviour::WrongId => answer("another", seal, "for another"),
+            Behaviour::WrongId => answer("another", seal, "for another request"),
             Behaviour::MissingSeal => answer(&id, "", "no seal"),
             Behaviour::Truncated => complete[..complete.len() - 2].to_owned(),
-            Behaviour::Malformed => "no answer at all\r\n\r\n".to_owned(),
+            Behaviour::Malformed => "not an HTTP answer\r\n\r\n".to_owned(),
             Behaviour::Duplicate => complete + &answer("late", seal, "for nobody"),
             Behaviour::NotExecuted => {
                 format!(
@@ -139,7 +141,7 @@
     format!("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Seal: s\r\nConnection: close\r\n\r\n{body}")
 }
 
-/// The connection is reset when it is dropped.
+/// Makes the connection reset when it is dropped.
 fn reset(stream: &TcpStream) {
     SockRef::from(stream).set_linger(Some(Duration::ZERO)).expect("the option");
 }
@@ -170,18 +172,18 @@
         Scenario::with(name, script, other).await
     }
 
-    /// Two endpoints: one that goes by the script, and another.
+    /// Starts two endpoints: a scripted one and `other`.
     async fn with(name: &str, script: Rc<Script>, other: SocketAddrV4) -> Scenario {
         let one = endpoint(script.clone()).await;
         let endpoints = [("i-1", "api", one), ("i-2", "api", other)];
         let tier = Tier::start(name, &configuration(), &endpoints).await;
         let scenario = Scenario { tier, script, last: Cell::new(0) };
-        // Endpoints reach the proxy a moment after it is ready.
+        // The endpoints are announced to the proxy shortly after it is ready.
         while scenario.ask("often", Behaviour::Correct).await.1.status != 200 {}
         scenario
     }
 
-    /// Sends a request that meets a mood; its id and its answer.
+    /// Sends a request that meets the given behaviour; returns its id and answer.
     async fn ask(&self, route: &str, behaviour: Behaviour) -> (String, Answer) {
         self.script.behaviour.set(behaviour);
         self.last.set(self.last.get() + 1);
@@ -193,7 +195,7 @@
 }
 
 #[test]
-fn what_may_have_run_and_may_not_run_twice_is_never_sent_again() {
+fn a_call_that_may_have_run_and_must_not_run_twice_is_never_resent() {
     play(async {
         let scenario = Scenario::start("once").await;
         for behaviour in MAY_HAVE_RUN {
@@ -204,25 +206,25 @@
         }
         let (id, answer) = scenario.ask("once", Behaviour::ServerError).await;
         assert_eq!((answer.status.as_u16(), scenario.script.runs(&id)), (500, 1));
-        assert_eq!(answer.headers["response-seal"], "s", "an endpoint's own failure is passed on unchanged");
+        assert_eq!(answer.headers["response-seal"], "s", "an endpoint's own error is forwarded unchanged");
     });
 }
 
 #[test]
-fn what_may_run_again_is_answered_by_another_endpoint() {
+fn a_repeatable_call_is_answered_by_another_endpoint() {
     play(async {
         let scenario = Scenario::start("often").await;
         for behaviour in MAY_HAVE_RUN.into_iter().chain([Behaviour::ServerError]) {
             let (id, answer) = scenario.ask("often", behaviour).await;
             assert_eq!(answer.status, 200, "{behaviour:?}");
-            assert_eq!(answer.body.expect("a whole answer"), format!("for {id}"), "{behaviour:?}");
+            assert_eq!(answer.body.expect("a complete answer"), format!("for {id}"), "{behaviour:?}");
             assert!(scenario.script.runs(&id) <= 2, "{behaviour:?}");
         }
     });
 }
 
 #[test]
-fn what_nobody_ran_is_answered_so_and_says_when_to_come_back() {
+fn a_call_that_was_not_executed_is_answered_with_a_retry_time() {
     play(async {
         let scenario = Scenario::start("refused").await;
         for route in ["once", "often"] {
@@ -234,7 +236,7 @@
 }
 
 #[test]
-fn an_answer_that_nobody_asked_for_reaches_nobody() {
+fn an_unrequested_answer_is_not_forwarded() {
     play(async {
         let scenario = Scenario::start("surplus").await;
         for round in 0..10 {
@@ -242,15 +244,15 @@
             let (id, answer) = scenario.ask("often", behaviour).await;
             assert_eq!(answer.status, 200, "round {round}");
             assert_eq!(answer.headers["request-id"], id.as_str(), "round {round}");
-            assert_eq!(answer.body.expect("a whole answer"), format!("for {id}"), "round {round}");
+            assert_eq!(answer.body.expect("a complete answer"), format!("for {id}"), "round {round}");
         }
     });
 }
 
-/// kartli-relay with 14 connections an endpoint, quiet-1: calls that must not run twice went out on connections that were
-/// over the endpoint's limit and were reset; 16 of them ended with 502 though no endpoint had seen them.
+/// Guards against sending calls that must not run twice on connections beyond the endpoint's limit, which are reset.
+/// With 14 connections per endpoint, 16 calls ended with 502 although no endpoint had received them.
 #[test]
-fn a_call_that_must_not_run_twice_is_not_sent_on_a_connection_that_the_endpoint_does_not_keep() {
+fn a_call_that_must_not_run_twice_is_not_sent_on_a_connection_beyond_the_limit() {
     play(async {
         let script = Rc::new(Script { behaviour: Cell::new(Behaviour::Correct), runs: RefCell::default() });
         let scenario = Scenario::with("full", script, full_endpoint().await).await;
@@ -262,9 +264,10 @@
     });
 }
 
-/// An answer without a length ends with its connection; before, it counted as lost, and one that must not run twice as 502.
+/// An answer without a length ends with its connection. Guards against treating it as lost, and as 502 if the call must
+/// not run twice.
 #[test]
-fn an_answer_without_a_length_is_whole_unless_its_connection_is_reset() {
+fn an_answer_without_a_length_is_complete_unless_its_connection_is_reset() {
     play(async {
         let scenario = Scenario::start("unframed").await;
         for round in 0..10 {
@@ -277,7 +280,7 @@
                 );
                 assert_eq!(answer.headers["response-seal"], "s", "{route}, round {round}");
                 assert_eq!(
-                    answer.body.expect("a whole answer"),
+                    answer.body.expect("a complete answer"),
                     format!("for {id}"),
                     "{route}, round {round}"
                 );
@@ -286,9 +289,9 @@
     });
 }
 
-/// A pooled connection may be reset before the next request is written, while it is, or after; each runs once.
+/// A pooled connection may be reset before, while or after the next request is written; each request runs at most once.
 #[test]
-fn a_connection_that_is_reset_at_rest_sends_no_call_twice_and_loses_none_that_never_left() {
+fn a_reset_of_an_idle_connection_repeats_no_call() {
     play(async {
         let scenario = Scenario::start("at-rest").await;
         let mut answered = 0;
@@ -297,7 +300,7 @@
             assert!(scenario.script.runs(&id) <= 1, "round {round}");
             match answer.status.as_u16() {
                 200 => answered += 1,
-                // The reset crossed the request: nobody knows whether it ran.
+                // The reset crossed the request: it is unknown whether it was executed.
                 502 => {}
                 other => panic!("round {round}: {other}"),
             }
@@ -306,8 +309,8 @@
     });
 }
 
-/// An endpoint that answers as soon as it has a request's head, keeps the connection and reads the body after that. Counts
-/// bodies that were not all `b`: bytes of something else stood where the rest of a body was due.
+/// An endpoint that answers as soon as it has received a request's head, keeps the connection open and reads the body
+/// afterwards. Counts bodies that contain other bytes than `b`, that is, bytes of another request.
 async fn early_endpoint(corrupted: Rc<Cell<u32>>) -> SocketAddrV4 {
     listen(move |stream| answer_early(stream, corrupted.clone())).await
 }
@@ -343,7 +346,7 @@
 }
 
 #[test]
-fn an_answer_before_the_body_has_been_sent_lets_no_other_request_in_its_place() {
+fn an_answer_before_the_end_of_the_body_does_not_mix_requests() {
     play(async {
         let corrupted: Rc<Cell<u32>> = Rc::default();
         let (one, other) = (early_endpoint(corrupted.clone()).await, early_endpoint(corrupted.clone()).await);
@@ -362,6 +365,6 @@
             }
         }
         assert!(answered >= 30, "{answered} of 60");
-        assert_eq!(corrupted.get(), 0, "bytes of another request where a body was due");
+        assert_eq!(corrupted.get(), 0, "bytes of another request were read as part of a body");
     });
 }
--- a/crates/onyxstile-system/tests/balance.rs
+++ b/crates/onyxstile-system/tests/balance.rs
@@ -1,4 +1,4 @@
-//! The choice of endpoints, by many relays that know little of each other.
+//! Endpoint selection by many relays with little shared information.
 
 mod support;
 
@@ -13,9 +13,10 @@
 use rand_pcg::Pcg64Mcg;
 use support::endpoints::{at, instance, named_relay, prompt, random_unit, relay};
 
-/// kartli-relay-grown, quiet-1: all relays sent a first part to the same two endpoints (busiest/mean 4.28).
+/// Guards against all relays sending a first part to the same two endpoints, which gave the busiest endpoint 4.28 times
+/// the mean load.
 #[test]
-fn many_relays_spread_few_first_parts_over_all_endpoints() {
+fn many_relays_distribute_few_first_parts_over_all_endpoints() {
     let mut rng = Pcg64Mcg::new(5);
     let mut arrivals: HashMap<String, u32> = HashMap::new();
     let mut total = 0;
@@ -39,11 +40,11 @@
     let busiest = arrivals.values().copied().max().unwrap_or(0);
     let ratio = f64::from(busiest) * 56.0 / f64::from(total);
     assert!(ratio < 2.5, "the busiest endpoint gets {ratio:.2} times the mean");
-    assert!(arrivals.len() >= 54, "{} of 56 endpoints get anything", arrivals.len());
+    assert!(arrivals.len() >= 54, "{} of 56 endpoints get any call", arrivals.len());
 }
 
 #[test]
-fn relays_with_the_same_knowledge_do_not_all_choose_the_same_tool_endpoint() {
+fn relays_with_equal_information_choose_different_tool_endpoints() {
     let mut rng = Pcg64Mcg::new(9);
     let mut arrivals: HashMap<EndpointKey, u32> = HashMap::new();
     for number in 0..2000 {
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn a_session_stays_where_its_turns_were_read() {
+fn a_session_stays_at_the_endpoint_with_its_cached_turns() {
     let mut relay = relay("z0", 9);
     let parts = prompt(1, 1);
     let requirements = CallRequirements { service: "llm", parts: &parts, ..CallRequirements::default() };
@@ -73,12 +74,12 @@
     assert_ne!(
         relay.choose(at(30), &requirements, 0.3),
         Some(first),
-        "reading anew is cheaper than queueing"
+        "reading the prompt again is cheaper than queueing"
     );
 }
 
 #[test]
-fn an_incarnation_that_leaves_is_never_chosen_again() {
+fn a_draining_incarnation_is_never_chosen_again() {
     let mut relay = relay("z0", 2);
     let mut leaving = instance(0, "llm");
     leaving.stage = Stage::Draining;
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn an_endpoint_out_of_reach_gets_one_call_at_a_time_until_it_answers() {
+fn an_unreachable_endpoint_gets_one_call_at_a_time_until_it_answers() {
     let mut relay = relay("z0", 2);
     let requirements = CallRequirements { service: "llm", ..CallRequirements::default() };
     let unhealthy = relay.choose(at(0), &requirements, 0.0).expect("an endpoint");
@@ -103,8 +104,8 @@
             .filter(|step| relay.choose(at(now), &requirements, f64::from(*step) / 20.0) == Some(unhealthy))
             .count()
     };
-    assert_eq!(chosen(&relay, 100), 0, "passed over");
-    assert!(chosen(&relay, 400) > 0, "tried again after its pause");
+    assert_eq!(chosen(&relay, 100), 0, "skipped during the backoff");
+    assert!(chosen(&relay, 400) > 0, "probed after the backoff");
     relay.get_mut(unhealthy).expect("is known").begin();
     assert_eq!(chosen(&relay, 400), 0, "one call at a time");
     relay.get_mut(unhealthy).expect("is known").end();
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn where_all_are_in_trouble_one_is_chosen_all_the_same() {
+fn an_endpoint_is_chosen_even_if_all_are_failing() {
     let mut relay = relay("z0", 3);
     let requirements = CallRequirements { service: "llm", ..CallRequirements::default() };
     for _ in 0..9 {
@@ -129,17 +130,17 @@
 }
 
 #[test]
-fn told_load_is_read_or_passed_over() {
+fn load_reports_are_parsed_or_ignored() {
     assert_eq!(Load::parse("3,0,8"), Some(Load { running: 3, waiting: 0 }));
     for broken in ["", "3", "a,b,c", ",,", "-1,2,3"] {
         assert_eq!(Load::parse(broken), None, "{broken:?}");
     }
 }
 
-/// kartli-relay-grown, scale-2: three of five sessions came through more than one relay, and each relay that had not seen
-/// the earlier turns had the whole prompt read anew somewhere else.
+/// Guards against reading prompts again: three of five sessions used more than one relay, and each relay without the
+/// earlier turns had the entire prompt read at another endpoint.
 #[test]
-fn a_program_whose_turns_come_through_many_relays_is_read_in_one_place() {
+fn a_program_whose_turns_use_many_relays_is_read_at_one_endpoint() {
     let read_anew = |is_named: bool| {
         let mut rng = Pcg64Mcg::new(11);
         let mut relays: Vec<Endpoints> =
@@ -152,7 +153,7 @@
             for turn in 0..6u32 {
                 header.push_str(&format!(",{:x}:700", 1000 + program * 10 + turn));
                 let parts = prefix::parse(&header);
-                // Clients of a zone come through any of its relays.
+                // Clients of a zone use any of its relays.
                 let zone = program as usize % 4;
                 let index = zone + 4 * (rng.next_u32() as usize % (relays.len() / 4));
                 let relay = &mut relays[index];
@@ -178,15 +179,16 @@
         read as f64 / f64::from(new)
     };
     let (alone, named) = (read_anew(false), read_anew(true));
-    // The new tokens themselves are 1, and first parts at their homes some tenths.
-    assert!(named < 1.4, "{named:.2} times the new tokens are read, {alone:.2} without homes of programs");
-    assert!(named < 0.5 * alone, "{named:.2} with programs' homes, {alone:.2} without");
+    // The new tokens alone give a ratio of 1; first parts at their preferred endpoints add a few tenths.
+    assert!(named < 1.4, "{named:.2} times the new tokens are read, {alone:.2} without programs");
+    assert!(named < 0.5 * alone, "{named:.2} with programs' preferred endpoints, {alone:.2} without");
 }
 
-/// kartli-relay, quiet-1: a home in another zone than the relay costs the bytes of every turn (0.0085 of the worth).
+/// Guards against preferring endpoints in a different zone than the relay, where every turn's bytes are charged (0.0085
+/// of the utility).
 #[test]
-fn a_program_is_at_home_in_the_zone_that_its_clients_come_through_while_that_has_two_endpoints() {
-    let zone_of_home = |endpoints: &[u32], program: &str| {
+fn a_program_prefers_the_zone_of_its_clients_while_it_has_two_endpoints() {
+    let preferred_zone = |endpoints: &[u32], program: &str| {
         let mut relay = relay("z1", 0);
         for number in endpoints {
             relay.update(at(0), instance(*number, "llm"));
@@ -203,7 +205,7 @@
         relay.get(key).expect("is known").instance.zone.clone()
     };
     let zones = |endpoints: &[u32]| -> Vec<String> {
-        (0..40).map(|program| zone_of_home(endpoints, &format!("program-{program}"))).collect()
+        (0..40).map(|program| preferred_zone(endpoints, &format!("program-{program}"))).collect()
     };
     assert!(zones(&[0, 1, 2, 3, 4, 5, 6, 7]).iter().all(|zone| zone == "z1"));
     let without_choice = zones(&[0, 1, 2, 3, 4, 6, 7]);
@@ -219,7 +221,7 @@
 }
 
 #[test]
-fn an_endpoint_that_told_nothing_lately_is_taken_for_as_busy_as_the_others() {
+fn an_endpoint_without_a_recent_report_is_assumed_as_busy_as_the_others() {
     let mut relay = relay("z0", 5);
     let parts = prompt(1, 1);
     let requirements = CallRequirements { service: "llm", parts: &parts, ..CallRequirements::default() };
@@ -230,12 +232,16 @@
     }
     for step in 0..20u32 {
         let key = relay.choose(at(10), &requirements, f64::from(step) / 20.0);
-        assert_eq!(key, Some(keys[0]), "the fifth told nothing, which does not mean that it is idle");
+        assert_eq!(
+            key,
+            Some(keys[0]),
+            "the fifth endpoint has reported nothing, which does not mean that it is idle"
+        );
     }
 }
 
 #[test]
-fn prompts_that_wait_cost_more_than_streams_that_run() {
+fn waiting_prompts_cost_more_than_running_streams() {
     let mut relay = relay("z0", 2);
     let parts = prompt(1, 1);
     let requirements = CallRequirements { service: "llm", parts: &parts, ..CallRequirements::default() };
--- a/crates/onyxstile-system/tests/connections.rs
+++ b/crates/onyxstile-system/tests/connections.rs
@@ -1,4 +1,4 @@
-//! The connections that relays hold to endpoints: shared by all, evenly spread, never more than an endpoint takes.
+//! Connections from relays to endpoints: shared by all relays, evenly distributed, within the endpoints' limits.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -29,7 +29,7 @@
     }
 }
 
-/// A relay that is equally far from all endpoints.
+/// A relay with the same distance to all endpoints.
 fn relay(number: usize, endpoints: usize) -> Endpoints {
     let mut relay = Endpoints::new("elsewhere", &format!("edge-{number}"));
     for endpoint in 0..endpoints {
@@ -46,13 +46,13 @@
     f64::from(rng.next_u32()) / 4_294_967_296.0
 }
 
-/// All endpoints that a relay calls for tools while nothing is wrong.
+/// All endpoints that a relay calls for tools while all are healthy.
 fn called(relay: &Endpoints, rng: &mut Pcg64Mcg) -> HashSet<EndpointKey> {
     let requirements = CallRequirements { service: SERVICE, ..CallRequirements::default() };
     (0..400).filter_map(|_| relay.choose(at(0), &requirements, random_unit(rng))).collect()
 }
 
-/// A relay takes up calls for as long as it finds an endpoint to which it may hold one more connection.
+/// Starts calls until the relay finds no endpoint to which it may hold one more connection.
 fn take_up_all(relay: &mut Endpoints, rng: &mut Pcg64Mcg) {
     let requirements = CallRequirements { service: SERVICE, ..CallRequirements::default() };
     while let Some(key) = relay.choose(at(0), &requirements, random_unit(rng)) {
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn all_relays_together_hold_no_more_connections_than_an_endpoint_takes() {
+fn all_relays_together_stay_within_an_endpoints_connection_limit() {
     let mut rng = Pcg64Mcg::new(41);
     for _ in 0..60 {
         let relays = 1 + rng.next_u32() as usize % 80;
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn subsets_spread_the_relays_evenly_and_keep_connections_few() {
+fn subsets_distribute_relays_evenly_and_limit_connections() {
     let (relays, endpoints) = (73, 34);
     let mut rng = Pcg64Mcg::new(43);
     let mut callers: HashMap<EndpointKey, u32> = HashMap::new();
@@ -104,12 +104,12 @@
     }
     let mean = f64::from(callers.values().sum::<u32>()) / endpoints as f64;
     let bound = mean + 3.0 * mean.sqrt();
-    assert_eq!(callers.len(), endpoints, "each endpoint is called by somebody");
+    assert_eq!(callers.len(), endpoints, "each endpoint is called by some relay");
     assert!(callers.values().all(|callers| f64::from(*callers) <= bound), "{callers:?}, bound {bound:.1}");
 }
 
 #[test]
-fn where_endpoints_take_fewer_connections_than_there_are_relays_each_relay_calls_some_of_them() {
+fn relays_call_a_subset_of_endpoints_that_accept_fewer_connections_than_relays() {
     let (relays, endpoints, most) = (90, 30, 40);
     let mut rng = Pcg64Mcg::new(53);
     let mut callers: HashMap<EndpointKey, u32> = HashMap::new();
@@ -124,11 +124,11 @@
     let over: u32 = callers.values().map(|callers| callers.saturating_sub(most as u32)).sum();
     let all: u32 = callers.values().sum();
     assert_eq!(callers.len(), endpoints);
-    assert!(f64::from(over) <= 0.03 * f64::from(all), "{over} of {all} are over what endpoints take");
+    assert!(f64::from(over) <= 0.03 * f64::from(all), "{over} of {all} exceed the connection limits");
 }
 
 #[test]
-fn an_endpoint_that_leaves_is_replaced_by_one_other_and_moves_no_third() {
+fn a_leaving_endpoint_is_replaced_by_exactly_one_other() {
     let mut rng = Pcg64Mcg::new(47);
     let mut relay = relay(5, 40);
     relay.set_limits(limits(500, false));
@@ -139,12 +139,12 @@
     relay.update(at(10), leaving);
     let after = called(&relay, &mut rng);
     assert!(!after.contains(&gone));
-    assert_eq!(after.difference(&before).count(), 1, "one takes its place");
+    assert_eq!(after.difference(&before).count(), 1, "exactly one endpoint replaces it");
     assert_eq!(before.difference(&after).count(), 1, "all others stay");
 }
 
 #[test]
-fn a_relay_that_knows_no_limit_or_no_count_is_not_bound() {
+fn connections_are_unlimited_without_a_limit_or_relay_count() {
     let mut relay = relay(1, 3);
     let key = relay.key("i-0").expect("is known");
     assert_eq!(relay.connection_share(key), u32::MAX);
@@ -153,11 +153,11 @@
     relay.set_relays(10);
     assert_eq!(relay.connection_share(key), 9);
     relay.set_relays(400);
-    assert_eq!(relay.connection_share(key), 1, "one at the least");
+    assert_eq!(relay.connection_share(key), 1, "at least one");
 }
 
 #[test]
-fn a_far_zone_is_called_once_the_near_one_is_busier_than_the_way_is_long() {
+fn a_remote_zone_is_called_once_the_local_load_outweighs_the_distance() {
     let mut relay = Endpoints::new("z0", "edge");
     relay.update(at(0), instance(0));
     relay.update(at(0), instance(1));
@@ -166,10 +166,18 @@
     let occupy =
         |relay: &mut Endpoints, calls: u32| (0..calls).for_each(|_| relay.get_mut(near).expect("").begin());
     occupy(&mut relay, 4);
-    assert_eq!(relay.choose(at(0), &requirements, 0.0), Some(far), "3 ms are less than four calls cost");
+    assert_eq!(
+        relay.choose(at(0), &requirements, 0.0),
+        Some(far),
+        "3 ms are less than the cost of four calls"
+    );
     relay.connected(near, Duration::from_millis(1));
     relay.connected(far, Duration::from_millis(81));
-    assert_eq!(relay.choose(at(0), &requirements, 0.0), Some(near), "80 ms are more");
+    assert_eq!(
+        relay.choose(at(0), &requirements, 0.0),
+        Some(near),
+        "80 ms are more than the cost of four calls"
+    );
     occupy(&mut relay, 12);
     assert_eq!(relay.choose(at(0), &requirements, 0.0), Some(far));
 }
--- a/crates/onyxstile-system/tests/evidence.rs
+++ b/crates/onyxstile-system/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence about endpoints that relays share: who is under suspicion, how soon, and how it fades.
+//! Evidence shared among relays: which endpoints are suspected, how soon, and how evidence decays.
 
 mod support;
 
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn a_single_lost_answer_makes_no_suspect_and_two_of_different_relays_do() {
+fn two_lost_answers_at_different_relays_raise_suspicion_and_one_does_not() {
     let mut pool = EvidencePool::default();
     pool.note_report(at(0), ip(1), &[reported("i-1", 1.0, 0.0)]);
     assert!(pool.suspects(at(0)).is_empty());
     pool.note_report(at(100), ip(1), &[reported("i-1", 1.0, 3.0)]);
-    assert!(pool.suspects(at(100)).is_empty(), "told again it is the same one");
+    assert!(pool.suspects(at(100)).is_empty(), "a repeated report replaces the previous one");
     pool.note_report(at(100), ip(2), &[reported("i-1", 1.0, 5.0)]);
     let suspects = pool.suspects(at(100));
     assert_eq!(suspects, [reported("i-1", 2.0, 8.0)]);
@@ -37,18 +37,18 @@
 }
 
 #[test]
-fn what_was_told_fades_and_is_forgotten() {
+fn reports_decay_and_are_removed() {
     let mut pool = EvidencePool::default();
     pool.note_report(at(0), ip(1), &[reported("i-1", 8.0, 0.0)]);
     let failed: Vec<f32> = pool.suspects(at(5_000)).iter().map(|evidence| evidence.failed).collect();
-    assert_eq!(failed, [4.0], "half after the half-life");
+    assert_eq!(failed, [4.0], "half remains after the half-life");
     assert!(pool.suspects(at(20_000)).is_empty());
     pool.tick(at(30_000));
-    assert!(pool.lines(at(0)).is_empty(), "nothing is left of it");
+    assert!(pool.lines(at(0)).is_empty(), "the report is removed");
 }
 
 #[test]
-fn a_message_is_bounded_and_tells_of_the_worst() {
+fn a_message_is_bounded_and_contains_the_most_failures() {
     let all: Vec<Evidence> =
         (0..200).map(|number| reported(&format!("i-{number}"), number as f32, 1.0)).collect();
     let mut pool = EvidencePool::default();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn counts_that_are_no_counts_do_no_harm() {
+fn invalid_counts_are_clamped() {
     let mut pool = EvidencePool::default();
     let invalid = [f32::INFINITY, f32::NEG_INFINITY, -5.0, 1e38];
     for (number, count) in invalid.into_iter().enumerate() {
@@ -76,21 +76,24 @@
 }
 
 #[test]
-fn ones_own_calls_outweigh_what_others_say() {
+fn own_calls_outweigh_other_relays_reports() {
     let mut health = Health::default();
     health.merge_evidence(at(0), Tally::new(at(0), 400.0, 600.0));
     let shared = health.suspicion(at(0), USUAL);
-    assert!(shared > 0.3, "{shared}: nothing else is known");
+    assert!(shared > 0.3, "{shared}: no own calls yet");
     for _ in 0..60 {
         health.note_answer(at(100));
     }
     let own = health.suspicion(at(100), USUAL);
-    assert!(own < 0.01, "{own}: it fails the calls of others only");
-    assert!(health.report(at(100), USUAL).is_some_and(|tally| tally.answered > 59.0), "which others hear");
+    assert!(own < 0.01, "{own}: only other relays' calls fail");
+    assert!(
+        health.report(at(100), USUAL).is_some_and(|tally| tally.answered > 59.0),
+        "own successes are reported to the other relays"
+    );
 }
 
 #[test]
-fn an_endpoint_that_nobody_suspects_is_not_told_of() {
+fn an_unsuspected_endpoint_is_not_reported() {
     let mut health = Health::default();
     for _ in 0..20 {
         health.note_answer(at(0));
@@ -101,7 +104,8 @@
     assert_eq!(health.report(at(40_000), USUAL), None);
 }
 
-/// Seventy relays that make a call each 100 ms; one of eight endpoints fails two in five. How many calls fail.
+/// Number of failed calls of seventy relays that each make a call every 100 ms, with one of eight endpoints failing two
+/// in five calls.
 fn failures(seed: u64, is_shared: bool) -> u32 {
     let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
     let mut relays: Vec<Endpoints> =
@@ -134,7 +138,7 @@
 }
 
 #[test]
-fn relays_that_share_evidence_lose_fewer_calls_to_a_bad_endpoint() {
+fn shared_evidence_reduces_the_calls_lost_to_a_failing_endpoint() {
     let (mut alone, mut together) = (0, 0);
     for seed in 0..5 {
         alone += failures(seed, false);
@@ -144,7 +148,7 @@
 }
 
 #[test]
-fn lost_answers_here_and_there_leave_no_endpoint_out() {
+fn sporadic_lost_answers_exclude_no_endpoint() {
     let mut rng = Pcg64Mcg::new(5);
     let mut relays: Vec<Endpoints> =
         (0..70).map(|number| named_relay("elsewhere", &format!("relay-{number}"), 8)).collect();
--- a/crates/onyxstile-system/tests/health.rs
+++ b/crates/onyxstile-system/tests/health.rs
@@ -1,4 +1,5 @@
-//! Endpoints that fail part of their calls: how soon they are avoided, for how long, and that a service is never left empty.
+//! Endpoints that fail part of their calls: how soon and for how long they are avoided, and that a service always keeps
+//! usable endpoints.
 
 mod support;
 
@@ -18,9 +19,9 @@
     CallRequirements { service: "llm", may_repeat, ..CallRequirements::default() }
 }
 
-/// Calls one after the other, each 20 ms after the one before; `fails` says what becomes of one at an endpoint. How many
-/// went to each.
-fn play(
+/// Makes calls at intervals of 20 ms; `fails` determines the outcome at an endpoint. Returns the number of calls per
+/// endpoint.
+fn run_calls(
     relay: &mut Endpoints, from_ms: u64, calls: u64, may_repeat: bool, rng: &mut Pcg64Mcg,
     mut fails: impl FnMut(EndpointKey, &mut Pcg64Mcg) -> bool,
 ) -> HashMap<EndpointKey, u32> {
@@ -41,47 +42,51 @@
 }
 
 #[test]
-fn an_endpoint_that_fails_two_calls_in_five_gets_few_that_must_not_be_lost() {
+fn an_endpoint_that_fails_two_in_five_calls_gets_few_calls() {
     for seed in 0..20u64 {
         let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut relay = relay("z0", 8);
         let bad = relay.key("i-3").expect("is known");
         let calls_by_endpoint =
-            play(&mut relay, 0, 1_000, false, &mut rng, |key, rng| key == bad && rng.next_u32() % 5 < 2);
+            run_calls(&mut relay, 0, 1_000, false, &mut rng, |key, rng| key == bad && rng.next_u32() % 5 < 2);
         let share = f64::from(calls_by_endpoint.get(&bad).copied().unwrap_or(0)) / 1_000.0;
-        assert!(share < 0.03, "seed {seed}: {share} of the calls, an even part is 0.125");
+        assert!(share < 0.03, "seed {seed}: {share} of the calls, an even share is 0.125");
     }
 }
 
 #[test]
-fn an_endpoint_that_fails_all_gets_no_more_than_the_trial_part_of_calls_that_may_be_repeated() {
+fn an_endpoint_that_fails_all_calls_gets_only_probes() {
     for seed in 0..20u64 {
         let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut relay = relay("z0", 8);
         let bad = relay.key("i-3").expect("is known");
-        let calls_by_endpoint = play(&mut relay, 0, 1_000, true, &mut rng, |key, _| key == bad);
+        let calls_by_endpoint = run_calls(&mut relay, 0, 1_000, true, &mut rng, |key, _| key == bad);
         let count = calls_by_endpoint.get(&bad).copied().unwrap_or(0);
         assert!(count <= 50, "seed {seed}: {count} of 1,000");
     }
 }
 
 #[test]
-fn an_endpoint_that_is_well_again_has_its_part_within_twenty_seconds() {
+fn a_recovered_endpoint_has_its_share_within_twenty_seconds() {
     for may_repeat in [false, true] {
         let mut rng = Pcg64Mcg::new(7);
         let mut relay = relay("z0", 8);
         let unhealthy = relay.key("i-3").expect("is known");
-        play(&mut relay, 0, 500, may_repeat, &mut rng, |key, _| key == unhealthy);
-        let calls_by_endpoint = play(&mut relay, 30_000, 500, may_repeat, &mut rng, |_, _| false);
+        run_calls(&mut relay, 0, 500, may_repeat, &mut rng, |key, _| key == unhealthy);
+        let calls_by_endpoint = run_calls(&mut relay, 30_000, 500, may_repeat, &mut rng, |_, _| false);
         let count = |key| calls_by_endpoint.get(&key).copied().unwrap_or(0);
-        // One of the same zone that was never sick.
+        // An endpoint of the same zone that was never unhealthy.
         let twin = count(relay.key("i-7").expect("is known"));
-        assert!(count(unhealthy) * 2 > twin, "{} of 500, its twin gets {twin}", count(unhealthy));
+        assert!(
+            count(unhealthy) * 2 > twin,
+            "{} of 500, a comparable endpoint gets {twin}",
+            count(unhealthy)
+        );
     }
 }
 
 #[test]
-fn an_endpoint_that_has_not_answered_yet_is_expected_to_be_as_fast_as_the_others() {
+fn an_endpoint_without_answers_is_assumed_as_fast_as_the_others() {
     let mut rng = Pcg64Mcg::new(11);
     let mut relay = relay("z0", 7);
     for number in 0..7 {
@@ -92,11 +97,11 @@
     let fresh = relay.key("i-7").expect("is known");
     let chosen =
         (0..400).filter(|_| relay.choose(at(10), &requirements(false), random_unit(&mut rng)) == Some(fresh));
-    assert!(chosen.count() > 20, "it gets its part of the calls while all are idle");
+    assert!(chosen.count() > 20, "it gets its share of the calls while all are idle");
 }
 
 #[test]
-fn an_endpoint_that_goes_down_and_up_is_not_trusted_at_its_first_good_answer() {
+fn an_alternating_endpoint_is_not_trusted_at_its_first_good_answer() {
     let mut health = Health::default();
     for _ in 0..6 {
         health.note_failure(at(0));
@@ -108,29 +113,32 @@
     for number in 0..40 {
         health.note_answer(at(200 + number * 200));
     }
-    assert!(health.suspicion(at(8_200), USUAL) < 0.08, "good answers and time clear it");
+    assert!(health.suspicion(at(8_200), USUAL) < 0.08, "good answers and time clear the suspicion");
 }
 
 #[test]
-fn a_call_that_is_out_for_long_counts_before_it_ends() {
+fn an_overdue_call_counts_before_it_ends() {
     let mut health = Health::default();
     health.sent(at(0));
-    assert!(health.suspicion(at(300), USUAL) < 1e-9, "still usual");
+    assert!(health.suspicion(at(300), USUAL) < 1e-9, "within the usual latency");
     assert!(health.suspicion(at(500), USUAL) > 0.1, "overdue");
-    assert!(health.suspicion(at(500), Duration::from_millis(200)) < 1e-9, "not where answers take long");
+    assert!(
+        health.suspicion(at(500), Duration::from_millis(200)) < 1e-9,
+        "not if answers usually take longer"
+    );
     health.ended(at(0));
     assert!(health.suspicion(at(600), USUAL) < 1e-9);
 }
 
 #[test]
-fn evidence_against_all_leaves_no_service_empty_and_crowds_no_endpoint() {
+fn evidence_against_all_endpoints_neither_empties_the_service_nor_overloads_one() {
     let mut rng = Pcg64Mcg::new(3);
     let mut relay = relay("z0", 8);
     let calls_by_endpoint =
-        play(&mut relay, 0, 2_000, false, &mut rng, |_, rng| rng.next_u32().is_multiple_of(3));
-    assert_eq!(calls_by_endpoint.len(), 8, "each is called");
+        run_calls(&mut relay, 0, 2_000, false, &mut rng, |_, rng| rng.next_u32().is_multiple_of(3));
+    assert_eq!(calls_by_endpoint.len(), 8, "each endpoint is called");
     let most = calls_by_endpoint.values().max().copied().unwrap_or(0);
-    assert!(most < 600, "{most} of 2,000 went to one, an even part is 250");
+    assert!(most < 600, "{most} of 2,000 calls went to one endpoint, an even share is 250");
 }
 
 #[test]
@@ -153,12 +161,12 @@
     assert_ne!(
         relay.choose(at(630), &requirements, 0.3),
         Some(first),
-        "an endpoint that fails a third is left"
+        "the session leaves an endpoint that fails a third of its calls"
     );
 }
 
 #[test]
-fn time_alone_clears_an_endpoint() {
+fn suspicion_decays_with_time() {
     let mut health = Health::default();
     for _ in 0..20 {
         health.note_failure(Instant::from_millis(0));
--- a/crates/onyxstile-system/tests/programs.rs
+++ b/crates/onyxstile-system/tests/programs.rs
@@ -1,5 +1,5 @@
-//! Turns and budgets on storage quorums: BUDGET and LOST as the rules word them, over seeded histories in which storage
-//! machines lose their disks, are away, and the plan changes.
+//! Turns and budgets on storage quorums: the guarantees BUDGET and LOST, over seeded histories in which storage
+//! machines lose their disks, are unavailable, and the plan changes.
 
 mod support;
 
@@ -34,7 +34,7 @@
     ClaimEntry { request: request.into(), max_tokens, settled }
 }
 
-/// The index of a storage machine, with a log that drops what the index calls superfluous.
+/// Index of a storage machine, with a log that drops the records that the index reports as obsolete.
 #[derive(Default)]
 struct Store {
     index: RecordIndex,
@@ -53,15 +53,15 @@
 
     fn expire(&mut self, now: Instant) {
         for number in self.index.expire(now) {
-            self.log.remove(&number).expect("what is dropped was in the log");
+            self.log.remove(&number).expect("a removed record was in the log");
         }
     }
 
     fn turn(&self, id: &str) -> Option<Rc<Turn>> {
         let number = self.index.turn(id)?;
-        match self.log.get(&number).expect("what the index names is in the log") {
+        match self.log.get(&number).expect("an indexed record is in the log") {
             Record::Turn(turn) => Some(turn.clone()),
-            other => panic!("{id} leads to {other:?}"),
+            other => panic!("{id} refers to {other:?}"),
         }
     }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// What a quorum tells of a program's claims: one by one, and as summaries.
+/// A quorum's reply about a program's claims: individual claims and summaries.
 #[derive(Default)]
 struct QuorumReply {
     claims: Vec<ClaimEntry>,
@@ -92,11 +92,11 @@
 }
 
 impl QuorumReply {
-    /// Whether a turn is let in. The summaries must not say otherwise than the claims.
+    /// Whether a turn is admitted. The summaries must not contradict the claims.
     fn admits(&self, budget: u64, request: &str, most: u64) -> bool {
         let exact = fits_budget(budget, request, most, &self.claims);
         match admit(budget, request, most, &self.summaries) {
-            BudgetDecision::Fits => assert!(exact, "let in beyond the budget: {:?}", self.summaries),
+            BudgetDecision::Fits => assert!(exact, "admitted beyond the budget: {:?}", self.summaries),
             BudgetDecision::Exhausted => assert!(!exact, "refused within the budget: {:?}", self.summaries),
             BudgetDecision::Inconclusive => {}
         }
@@ -104,7 +104,7 @@
     }
 }
 
-/// Storage machines that may be away or hold nothing yet.
+/// Storage machines that may be unavailable or still empty.
 struct Cluster {
     plan: StoragePlan,
     stores: BTreeMap<Ipv4Addr, Store>,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Writes at a random quorum, the rest of the members are missed; the claims that the quorum tells.
+    /// Writes a record to a random quorum and not to the remaining members; returns the claims that the quorum reports.
     fn write(&mut self, record: &Record, rng: &mut Pcg64Mcg) -> Option<QuorumReply> {
         let key = record.key();
         let mut quorum = Quorum::new(&self.plan, key.placed_by(), self.tolerance);
@@ -165,7 +165,7 @@
         None
     }
 
-    /// What a machine that was away or wiped copies from all the others.
+    /// Copies the records of a machine that was unavailable or wiped from all other machines.
     fn repair(&mut self, ip: Ipv4Addr) {
         let mut records = Vec::new();
         for (other, store) in &self.stores {
@@ -173,13 +173,14 @@
                 continue;
             }
             let (keys, _) = store.changed_since(0, usize::MAX);
-            let is_mine = |key: &Key| {
+            let is_assigned = |key: &Key| {
                 groups(&self.plan, key.placed_by(), self.tolerance)
                     .iter()
                     .any(|group| group.members.contains(&ip))
             };
-            records
-                .extend(keys.iter().filter(|(key, _)| is_mine(key)).filter_map(|(key, _)| store.record(key)));
+            records.extend(
+                keys.iter().filter(|(key, _)| is_assigned(key)).filter_map(|(key, _)| store.record(key)),
+            );
         }
         for record in records {
             self.merge(ip, &record);
@@ -204,8 +205,8 @@
     }
 }
 
-/// Turns run side by side and end, crash or are refused while one machine at a time is lost. The most that a client can
-/// have received beyond the budget.
+/// Runs concurrent turns that end, crash or are refused while one machine at a time is lost. Returns the largest number
+/// of tokens that a client can have received beyond the budget.
 fn overdraft(seed: u64, answers_while_empty: bool) -> i64 {
     let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
     let mut cluster = Cluster::new(4, ONE);
@@ -264,12 +265,12 @@
 }
 
 #[test]
-fn a_wiped_machine_that_answers_before_it_has_copied_is_caught() {
+fn a_wiped_machine_that_answers_before_copying_is_detected() {
     assert!((0..400).any(|seed| overdraft(seed, true) > 0));
 }
 
 #[test]
-fn a_kept_turn_is_found_through_one_loss_after_the_other() {
+fn an_acknowledged_turn_survives_successive_losses() {
     for seed in 0..80u64 {
         let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut cluster = Cluster::new(if seed.is_multiple_of(2) { 3 } else { 6 }, ONE);
@@ -292,7 +293,7 @@
 }
 
 #[test]
-fn a_turn_outlasts_a_change_of_the_plan_and_the_loss_of_an_old_disk_right_after() {
+fn a_turn_survives_a_plan_change_and_the_loss_of_an_old_disk() {
     for seed in 0..80u64 {
         let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut cluster = Cluster::new(4, ONE);
@@ -330,7 +331,7 @@
 }
 
 #[test]
-fn quorums_of_a_changing_plan_meet_those_before_and_after() {
+fn quorums_of_a_changing_plan_intersect_those_before_and_after() {
     let (before, changing, after) = (
         plan(1, &[1, 2, 3, 4], &[]),
         plan(2, &[1, 2, 3, 5, 6], &[1, 2, 3, 4]),
@@ -350,13 +351,13 @@
             let mut rest = Quorum::new(other, &key, ONE);
             let reached =
                 rest.members().into_iter().filter(|ip| !answered.contains(ip)).any(|ip| rest.count(ip));
-            assert!(!reached, "{key}: a quorum without any of the other's machines");
+            assert!(!reached, "{key}: two quorums without a common machine");
         }
     }
 }
 
 #[test]
-fn a_settled_claim_is_never_opened_again() {
+fn a_settled_claim_is_never_reopened() {
     let mut store = Store::default();
     let record = |settled| Record::ClaimEntry { program: "p".into(), entry: claim("r", 90, settled) };
     let now = Instant::from_millis(0);
@@ -364,11 +365,11 @@
     store.merge(now, Duration::ZERO, &record(None));
     store.merge(now, Duration::ZERO, &record(Some(70)));
     assert_eq!(store.claims("p"), [claim("r", 90, Some(30))]);
-    assert_eq!(store.log.len(), 1, "the log keeps the record that counts, and no other");
+    assert_eq!(store.log.len(), 1, "the log keeps only the settled record");
 }
 
 #[test]
-fn what_storage_tells_of_claims_does_not_grow_with_those_that_are_settled() {
+fn claim_replies_do_not_grow_with_settled_claims() {
     let mut store = Store::default();
     let mut after = Vec::new();
     for number in 0..290 {
@@ -382,12 +383,12 @@
         }
         after.push(borsh::to_vec(&store.index.claim_summary("p")).expect("encodes").len());
     }
-    assert_eq!(after[0], after[289], "bytes of an answer after the first and the last turn");
+    assert_eq!(after[0], after[289], "bytes of a reply after the first and the last turn");
     assert_eq!(store.index.claim_summary("p").settled.tokens, 290 * 40);
 }
 
 #[test]
-fn answers_that_differ_in_what_is_settled_let_a_turn_in_only_where_all_their_sums_fit() {
+fn differing_replies_admit_a_turn_only_if_all_sums_fit() {
     let summary = |requests: &[&str], open: &[&str]| {
         let mut summary = ClaimSummary::default();
         requests.iter().for_each(|request| summary.settled.add(request, 100));
@@ -398,18 +399,18 @@
     assert_eq!(admit(350, "own", 100, &alike), BudgetDecision::Fits);
     assert_eq!(admit(349, "own", 100, &alike), BudgetDecision::Exhausted);
     let other = [summary(&["a", "b"], &[]), summary(&["a"], &["b"])];
-    assert_eq!(admit(450, "own", 100, &other), BudgetDecision::Fits, "even if they had no claim in common");
-    assert_eq!(admit(300, "own", 100, &other), BudgetDecision::Inconclusive, "it may fit");
-    assert_eq!(admit(10, "own", 100, &[]), BudgetDecision::Exhausted);
     assert_eq!(
-        admit(u64::MAX, "own", u64::MAX, &alike),
-        BudgetDecision::Exhausted,
-        "a sum that is no number"
+        admit(450, "own", 100, &other),
+        BudgetDecision::Fits,
+        "even if the replies had no claim in common"
     );
+    assert_eq!(admit(300, "own", 100, &other), BudgetDecision::Inconclusive, "it may fit");
+    assert_eq!(admit(10, "own", 100, &[]), BudgetDecision::Exhausted);
+    assert_eq!(admit(u64::MAX, "own", u64::MAX, &alike), BudgetDecision::Exhausted, "a saturated sum");
 }
 
 #[test]
-fn the_log_keeps_one_record_for_each_key_in_whatever_order_they_come() {
+fn the_log_keeps_one_record_per_key_in_any_order() {
     for seed in 0..200u64 {
         let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut store = Store::default();
@@ -429,13 +430,13 @@
         let logged: BTreeSet<Key> = store.log.values().map(Record::key).collect();
         assert_eq!(logged, keys.iter().map(|(key, _)| key.clone()).collect(), "seed {seed}");
         for (key, version) in keys {
-            assert_eq!(store.record(&key).expect("is held").version(), version, "seed {seed}");
+            assert_eq!(store.record(&key).expect("is stored").version(), version, "seed {seed}");
         }
     }
 }
 
 #[test]
-fn a_record_that_is_read_twice_under_its_number_stays() {
+fn a_record_read_twice_under_its_number_is_kept() {
     let mut index = RecordIndex::default();
     let now = Instant::from_millis(0);
     for record in
@@ -445,12 +446,12 @@
         let again = index.merge(now, Duration::ZERO, &record, 7);
         assert!(!again.has_changed && again.obsolete.is_none());
         let copy = index.merge(now, Duration::ZERO, &record, 8);
-        assert_eq!(copy.obsolete, Some(8), "the copy need not be kept");
+        assert_eq!(copy.obsolete, Some(8), "the copy is obsolete");
     }
 }
 
 #[test]
-fn turns_in_memory_stay_within_their_bound_and_the_one_used_longest_ago_goes() {
+fn the_turn_cache_evicts_the_least_recently_used_turn() {
     let one = turn("t0").bytes();
     let mut cache = TurnCache::new(3 * one);
     (0..3).for_each(|number| cache.insert(turn(&format!("t{number}"))));
@@ -461,7 +462,7 @@
 }
 
 #[test]
-fn a_turn_is_kept_for_its_retention_and_then_dropped() {
+fn a_turn_is_removed_after_its_retention() {
     let mut store = Store::default();
     store.merge(Instant::from_millis(0), Duration::ZERO, &Record::Turn(turn("t")));
     store.expire(Instant::from_millis(60_000));
@@ -469,12 +470,12 @@
     store.expire(Instant::from_millis(200_000));
     assert!(store.turn("t").is_none());
     assert_eq!(store.index.memory_bytes(), 0);
-    assert!(store.log.is_empty(), "the log may drop it");
+    assert!(store.log.is_empty(), "the log may remove it");
     assert!(store.changed_since(0, 10).0.is_empty(), "nothing is offered for copying");
 }
 
 #[test]
-fn keys_are_placed_evenly_and_move_little_when_a_machine_joins() {
+fn keys_are_distributed_evenly_and_few_move_when_a_machine_joins() {
     let (before, after) = (plan(1, &[1, 2, 3, 4, 5], &[]), plan(2, &[1, 2, 3, 4, 5, 6], &[]));
     let mut held: BTreeMap<Ipv4Addr, u32> = BTreeMap::new();
     let mut moved = 0;
@@ -489,13 +490,13 @@
 }
 
 #[test]
-fn the_nearest_machine_that_holds_a_key_is_asked_first() {
+fn the_nearest_machine_of_a_key_is_queried_first() {
     let before = plan(1, &[1, 2, 3, 4, 5], &[]);
     for number in 0..200 {
         let key = format!("key-{number}");
         let members = groups(&before, &key, ONE)[0].members.clone();
-        let near = |zone: &str, doubted: &[Ipv4Addr]| {
-            nearest(&before, &key, ONE, zone, |member| doubted.contains(&member))
+        let near = |zone: &str, suspected: &[Ipv4Addr]| {
+            nearest(&before, &key, ONE, zone, |member| suspected.contains(&member))
         };
         for member in &members {
             let zone = format!("z{}", member.octets()[3]);
@@ -509,21 +510,21 @@
         assert_eq!(
             nearest(&changing, &key, ONE, "z6", |_| false),
             Some(members[0]),
-            "newcomers hold nothing yet"
+            "new members store nothing yet"
         );
     }
 }
 
-/// Where turns are not retained, only the claims tell whether a program begins.
+/// If turns are not retained, only the claims show whether a program has begun.
 #[test]
-fn a_program_is_under_way_once_it_has_generated_or_another_turn_is_out() {
+fn a_program_has_begun_once_tokens_were_generated_or_another_turn_is_open() {
     let open = |request: &str| ClaimEntry { request: request.into(), max_tokens: 40, settled: None };
     let summary = |open: Vec<ClaimEntry>, tokens: u64| ClaimSummary {
         open,
         settled: Settled { count: 1, tokens, digest: 1 },
     };
     assert!(is_first("r", &[summary(vec![open("r")], 0), ClaimSummary::default()]));
-    assert!(is_first("r", &[]), "nobody knows of any");
+    assert!(is_first("r", &[]), "there are no claims");
     assert!(!is_first("r", &[ClaimSummary::default(), summary(vec![open("r")], 12)]));
     assert!(!is_first("r", &[summary(vec![open("r"), open("s")], 0)]));
 }
--- a/crates/onyxstile-system/tests/relays.rs
+++ b/crates/onyxstile-system/tests/relays.rs
@@ -1,4 +1,4 @@
-//! What a controller knows of the relays that ask it.
+//! Relays that poll a controller.
 
 use expect_test::expect;
 use onyxstile_system::clock::Instant;
@@ -13,17 +13,17 @@
 }
 
 #[test]
-fn the_count_is_unknown_until_every_relay_has_had_the_time_to_ask() {
+fn the_count_is_unknown_until_every_relay_can_have_polled() {
     let mut relays = Relays::new(at(1_000));
     relays.note_poll(at(1_100), [10, 0, 0, 1], relay("edge-1", 4));
-    assert_eq!(relays.count(at(5_900)), None, "others may not have asked yet");
+    assert_eq!(relays.count(at(5_900)), None, "others may not have polled yet");
     relays.note_poll(at(5_900), [10, 0, 0, 1], relay("edge-1", 4));
     relays.note_poll(at(5_900), [10, 0, 0, 2], relay("edge-2", 4));
     assert_eq!(relays.count(at(6_000)), Some(2));
 }
 
 #[test]
-fn a_relay_that_asks_no_more_is_forgotten_and_one_that_asks_twice_counts_once() {
+fn silent_relays_expire_and_repeated_polls_count_once() {
     let mut relays = Relays::new(at(0));
     for ms in [1_000, 3_000, 6_000] {
         relays.note_poll(at(ms), [10, 0, 0, 1], relay("edge-1", 4));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_operator_reads_who_is_behind() {
+fn status_lines_show_relays_with_older_revisions() {
     let mut relays = Relays::new(at(0));
     relays.note_poll(at(900), [10, 0, 0, 1], relay("edge-1", 4));
     relays.note_poll(at(400), [10, 0, 0, 2], relay("edge-2", 3));
--- a/crates/onyxstile-system/tests/retry_policy.rs
+++ b/crates/onyxstile-system/tests/retry_policy.rs
@@ -1,4 +1,4 @@
-//! The law of the retry stage.
+//! Resend probabilities, timers and slot limits of the retry stage.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_chance_falls_from_one_to_a_tenth_between_the_thresholds() {
+fn the_probability_falls_from_one_to_a_tenth_between_the_thresholds() {
     let policy = RetryPolicy::default();
     let mut table = String::new();
     for pending in [0, 5, 10, 15, 20, 25, 30, 35, 60] {
@@ -43,10 +43,10 @@
 }
 
 #[test]
-fn quiet_destinations_keep_their_chance_up_to_the_floor() {
+fn idle_destinations_keep_their_probability_up_to_the_minimum_threshold() {
     let policy = RetryPolicy::default();
     let mut destination = loaded(10, 4, &policy);
-    // An hour without sends: the rate is next to nothing, the floor stands.
+    // After an hour without sends the rate is almost zero, and the minimum threshold applies.
     for hour in 1..=60 {
         destination.resend_probability(at(hour * 60_000), &policy);
     }
@@ -56,14 +56,14 @@
 }
 
 #[test]
-fn slow_healthy_destinations_keep_their_chance() {
+fn slow_healthy_destinations_keep_their_probability() {
     let policy = RetryPolicy::default();
     let mut destination = loaded(10, 30, &policy);
     assert_eq!(destination.resend_probability(at(0), &policy), 0.1);
     for _ in 0..200 {
         destination.answered(Duration::from_secs(3));
     }
-    assert_eq!(destination.resend_probability(at(0), &policy), 1.0, "the threshold covers the usual latency");
+    assert_eq!(destination.resend_probability(at(0), &policy), 1.0, "the threshold covers the mean latency");
 }
 
 #[test]
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_derived_wait_grows_with_refusals_and_moves_firings_to_its_end() {
+fn a_derived_hold_grows_with_refusals_and_delays_firings() {
     let policy = RetryPolicy::default();
     let first = Duration::from_millis(30);
     let mut destination = Destination::new(at(0), 10, &policy);
@@ -106,25 +106,25 @@
     assert_eq!(destination.fire_time(at(50)), at(100));
     destination.answered(Duration::from_millis(5));
     destination.refused(at(200), first);
-    assert_eq!(destination.fire_time(at(200)), at(230), "an answer ends the row of refusals");
+    assert_eq!(destination.fire_time(at(200)), at(230), "an answer ends the series of refusals");
 }
 
 #[test]
-fn half_of_the_slots_is_the_most_while_others_wait() {
+fn a_destination_holds_at_most_half_of_the_slots_while_others_wait() {
     let mut slots = Slots::new(8);
     for _ in 0..6 {
-        assert!(slots.take(&"sick"));
+        assert!(slots.take(&"unhealthy"));
     }
-    slots.wait(&"well");
-    assert!(!slots.take(&"sick"), "six of eight are held while another waits");
-    assert!(slots.take(&"well"));
-    slots.stop_waiting(&"well");
-    assert!(slots.take(&"sick"), "nobody waits: the cap does not bind");
-    assert!(!slots.take(&"well"), "all are taken");
+    slots.wait(&"healthy");
+    assert!(!slots.take(&"unhealthy"), "six of eight are held while another waits");
+    assert!(slots.take(&"healthy"));
+    slots.stop_waiting(&"healthy");
+    assert!(slots.take(&"unhealthy"), "no call waits, so the limit does not apply");
+    assert!(!slots.take(&"healthy"), "all slots are taken");
 }
 
 #[test]
-fn the_cap_tightens_while_calls_run_late() {
+fn the_limit_is_reduced_while_calls_are_late() {
     let count = |late: bool| {
         let mut slots = Slots::new(16);
         for _ in 0..60 {
--- a/crates/onyxstile-system/tests/stream_timing.rs
+++ b/crates/onyxstile-system/tests/stream_timing.rs
@@ -1,4 +1,4 @@
-//! What a relay learns of how fast a service's endpoints read and write.
+//! Estimates of the reading and writing speed of a service's endpoints.
 
 mod support;
 
@@ -10,7 +10,7 @@
 const IDLE: Option<Load> = Some(Load { running: 1, waiting: 0 });
 const BUSY: Option<Load> = Some(Load { running: 30, waiting: 12 });
 
-/// Calls at endpoints that read a token in `token_ms` and write an event in `event_ms`.
+/// Records a call at an endpoint that reads a token in `token_ms` and writes an event in `event_ms`.
 fn call(timing: &mut StreamTiming, rng: &mut Pcg64Mcg, token_ms: f64, event_ms: f64, load: Option<Load>) {
     let tokens = 100.0 + 1500.0 * random_unit(rng);
     let noise = 1.0 + 0.2 * random_unit(rng);
@@ -25,33 +25,33 @@
     assert!((0.8..1.25).contains(&ratio), "{what}: {found:.4} instead of {expected:.4}");
 }
 
-/// kartli-relay with engines that read 9.6 tokens a ms: choices went by 38 tokens a ms for ever.
+/// Guards against a fixed reading speed: costs assumed 38 tokens per ms although the engines read 9.6 tokens per ms.
 #[test]
-fn speeds_are_learnt_in_some_tens_of_calls_whatever_they_are() {
+fn speeds_are_estimated_within_eighty_calls() {
     for (tokens_per_ms, event_ms) in [(38.4, 14.2), (9.6, 14.2), (38.4, 45.0), (150.0, 4.0)] {
         let (mut timing, mut rng) = (StreamTiming::default(), Pcg64Mcg::new(7));
         for _ in 0..80 {
             call(&mut timing, &mut rng, 1.0 / tokens_per_ms, event_ms, IDLE);
         }
         assert!(timing.is_warmed_up());
-        assert_near(timing.token_ms(), 1.1 / tokens_per_ms, "ms a token");
-        assert_near(timing.event_ms(), event_ms * 1.08, "ms an event");
+        assert_near(timing.token_ms(), 1.1 / tokens_per_ms, "ms per token");
+        assert_near(timing.event_ms(), event_ms * 1.08, "ms per event");
     }
 }
 
 #[test]
-fn speeds_change_with_the_endpoints() {
+fn estimates_follow_changing_speeds() {
     let (mut timing, mut rng) = (StreamTiming::default(), Pcg64Mcg::new(8));
     for token_ms in [1.0 / 38.4, 1.0 / 9.6, 1.0 / 38.4] {
         for _ in 0..150 {
             call(&mut timing, &mut rng, token_ms, 15.0, IDLE);
         }
-        assert_near(timing.token_ms(), 1.1 * token_ms, "ms a token");
+        assert_near(timing.token_ms(), 1.1 * token_ms, "ms per token");
     }
 }
 
 #[test]
-fn a_service_that_is_busy_for_long_does_not_pass_for_a_slow_one() {
+fn long_load_is_not_mistaken_for_low_speed() {
     let (mut timing, mut rng) = (StreamTiming::default(), Pcg64Mcg::new(9));
     for _ in 0..100 {
         call(&mut timing, &mut rng, 1.0 / 38.4, 15.0, IDLE);
@@ -60,13 +60,13 @@
     for _ in 0..400 {
         call(&mut timing, &mut rng, 5.0 / 38.4, 90.0, BUSY);
     }
-    assert!(timing.event_ms() < event_ms * 2.0, "{} ms an event after {event_ms}", timing.event_ms());
-    assert!(timing.token_ms() < token_ms * 3.0, "{} ms a token after {token_ms}", timing.token_ms());
+    assert!(timing.event_ms() < event_ms * 2.0, "{} ms per event after {event_ms}", timing.event_ms());
+    assert!(timing.token_ms() < token_ms * 3.0, "{} ms per token after {token_ms}", timing.token_ms());
 }
 
-/// One endpoint of nine answers at once, or very late, or tells a wrong load.
+/// One of nine endpoints answers immediately, very late, or reports a wrong load.
 #[test]
-fn one_endpoint_moves_a_services_figures_by_no_more_than_its_own_calls() {
+fn one_endpoint_has_limited_influence_on_a_services_estimates() {
     for (first_ms, event_ms) in [(0.0, 0.0), (5000.0, 2000.0)] {
         let (mut timing, mut rng) = (StreamTiming::default(), Pcg64Mcg::new(10));
         for number in 0..900 {
@@ -81,13 +81,16 @@
         }
         let expected = 1.1 / 38.4;
         let ratio = timing.first_event_ms(800.0) / (8.8 + 800.0 * expected);
-        assert!((0.7..1.6).contains(&ratio), "a first event is expected {ratio:.2} times as late");
-        assert_near(timing.event_ms(), 16.0, "ms an event");
+        assert!(
+            (0.7..1.6).contains(&ratio),
+            "a first event is expected after {ratio:.2} times the correct time"
+        );
+        assert_near(timing.event_ms(), 16.0, "ms per event");
     }
 }
 
 #[test]
-fn nothing_that_endpoints_show_makes_a_time_that_is_no_time() {
+fn estimates_are_always_finite_and_positive() {
     let mut timing = StreamTiming::default();
     for (tokens, ms) in [(0.0, 0.0), (0.0, 1e9), (1e9, 0.0), (700.0, 0.0), (1e9, 1e9)] {
         for _ in 0..200 {
--- a/crates/onyxstile-system/tests/streams.rs
+++ b/crates/onyxstile-system/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Events of streams, prompts' parts, and settings: reading of what comes from outside.
+//! Parsing of external input: stream events, prompt parts, settings and frames.
 
 use std::path::Path;
 
@@ -13,13 +13,13 @@
     b"versions: 3\nid: 1\ndata: a b\n\nid: 2\r\ndata:c\r\n\r\nid: 3\ndata: d\ndata: e\n\n: comment\n\n";
 
 #[test]
-fn events_are_the_same_however_the_bytes_are_cut() {
-    let whole = Splitter::default().push(STREAM);
-    let data: Vec<Option<&[u8]>> = whole.iter().map(|event| event.data.as_deref()).collect();
+fn events_do_not_depend_on_how_the_bytes_are_split() {
+    let all_events = Splitter::default().push(STREAM);
+    let data: Vec<Option<&[u8]>> = all_events.iter().map(|event| event.data.as_deref()).collect();
     assert_eq!(data, [Some(&b"a b"[..]), Some(&b"c"[..]), Some(&b"d\ne"[..]), None]);
-    let ids: Vec<Option<&str>> = whole.iter().map(|event| event.id.as_deref()).collect();
+    let ids: Vec<Option<&str>> = all_events.iter().map(|event| event.id.as_deref()).collect();
     assert_eq!(ids, [Some("1"), Some("2"), Some("3"), None]);
-    assert_eq!(whole.iter().flat_map(|event| event.bytes.clone()).collect::<Vec<u8>>(), STREAM);
+    assert_eq!(all_events.iter().flat_map(|event| event.bytes.clone()).collect::<Vec<u8>>(), STREAM);
     for seed in 0..200u64 {
         let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut splitter = Splitter::default();
@@ -30,13 +30,13 @@
             events.extend(splitter.push(&rest[..length]));
             rest = &rest[length..];
         }
-        assert_eq!(events, whole, "seed {seed}");
+        assert_eq!(events, all_events, "seed {seed}");
         assert!(splitter.is_empty());
     }
 }
 
 #[test]
-fn an_event_that_does_not_end_is_not_passed_on() {
+fn an_incomplete_event_is_not_forwarded() {
     let mut splitter = Splitter::default();
     assert!(splitter.push(b"id: 1\ndata: x\n").is_empty());
     assert!(!splitter.is_empty());
@@ -47,20 +47,20 @@
 }
 
 #[test]
-fn a_part_counts_only_behind_the_same_parts() {
+fn a_part_counts_only_after_the_same_parts() {
     let (one, other) = (prefix::parse("a:100,b:50,c:7"), prefix::parse("z:100,b:50"));
     let mut cache = Cache::default();
     cache.note(&one, 1000);
     assert_eq!(cache.held(&one), 157);
     assert_eq!(cache.held(&prefix::parse("a:100,b:50,d:9")), 150);
-    assert_eq!(cache.held(&other), 0, "the same part behind another one");
+    assert_eq!(cache.held(&other), 0, "the same part after a different one");
     cache.note(&other, 160);
     assert_eq!(cache.held(&other), 150);
-    assert_eq!(cache.held(&one), 0, "what was used longest ago has given way");
+    assert_eq!(cache.held(&one), 0, "the least recently used part was evicted");
 }
 
 #[test]
-fn whatever_a_prompt_header_holds_it_is_read_up_to_its_first_fault() {
+fn a_prompt_header_is_parsed_up_to_its_first_error() {
     assert!(prefix::parse("").is_empty());
     assert_eq!(prefix::parse("a:1,b").len(), 1);
     assert_eq!(prefix::parse("a:1,b:-4,c:3").len(), 1);
@@ -85,7 +85,7 @@
 "#;
 
 #[test]
-fn settings_are_read_with_unknown_fields_and_faults_are_named() {
+fn settings_accept_unknown_fields_and_report_errors() {
     let path = Path::new("boot.toml");
     let settings = Settings::parse(path, SETTINGS).expect("is valid");
     assert_eq!((settings.peer_port(), settings.feed_port()), (7380, 7381));
@@ -95,16 +95,18 @@
     assert_eq!(own.feed_address().to_string(), "127.0.0.9:7000", "several relays on one host");
     assert_eq!(settings.seed_addresses().len(), 2);
     assert_eq!(settings.grace().as_millis(), 8000);
-    let fault = |text: &str| Settings::parse(path, text).expect_err("is refused").to_string();
-    assert!(fault(&SETTINGS.replace("[7380,7395]", "[7380,7380]")).contains("internal_port_range"));
-    assert!(fault(&SETTINGS.replace("heartbeat_ms = 1200", "heartbeat_ms = 0")).contains("heartbeat_ms"));
-    assert!(fault(&SETTINGS.replace("ip = \"10.1.0.38\"\n", "")).contains("`ip`"));
-    assert!(fault("node_name = ").contains("boot.toml"));
+    let error_text = |text: &str| Settings::parse(path, text).expect_err("is refused").to_string();
+    assert!(error_text(&SETTINGS.replace("[7380,7395]", "[7380,7380]")).contains("internal_port_range"));
+    assert!(
+        error_text(&SETTINGS.replace("heartbeat_ms = 1200", "heartbeat_ms = 0")).contains("heartbeat_ms")
+    );
+    assert!(error_text(&SETTINGS.replace("ip = \"10.1.0.38\"\n", "")).contains("`ip`"));
+    assert!(error_text("node_name = ").contains("boot.toml"));
     assert!(matches!(Settings::read(Path::new("/nowhere/boot.toml")), Err(SettingsError::Unreadable(..))));
 }
 
 #[test]
-fn frames_that_are_cut_spoilt_or_of_another_version_are_refused_and_never_panic() {
+fn truncated_corrupted_or_foreign_version_frames_are_rejected() {
     let request = Request::GetTurns { epoch: 3, ids: vec!["a".into(), "b".into()] };
     let bytes = wire::encode(&request);
     assert_eq!(wire::decode::<Request>(&bytes).expect("decodes"), request);
@@ -119,25 +121,26 @@
     assert!(wire::decode::<Request>(&longer).is_err());
     let mut rng = Pcg64Mcg::new(77);
     for _ in 0..200_000 {
-        let mut spoilt = bytes.clone();
+        let mut corrupted = bytes.clone();
         for _ in 0..1 + rng.next_u32() % 4 {
-            let place = rng.next_u32() as usize % spoilt.len();
-            spoilt[place] = rng.next_u32() as u8;
+            let place = rng.next_u32() as usize % corrupted.len();
+            corrupted[place] = rng.next_u32() as u8;
         }
-        // Either reading is fine; it has to end, and without taking memory that isn't there.
-        drop(wire::decode::<Request>(&spoilt));
-        drop(wire::decode::<Response>(&spoilt));
+        // Decoding may succeed or fail, but it has to end and must not allocate memory for lengths that are not
+        // present.
+        drop(wire::decode::<Request>(&corrupted));
+        drop(wire::decode::<Response>(&corrupted));
     }
 }
 
-/// A session's part has one id and grows: what of it is new counted as read.
+/// A session's part keeps its id and grows. Guards against counting its new tokens as read.
 #[test]
-fn what_a_growing_part_has_gained_was_not_read_before() {
+fn the_added_tokens_of_a_growing_part_count_as_unread() {
     let mut cache = Cache::default();
     cache.note(&prefix::parse("a:100,b:50"), 1000);
     let grown = prefix::parse("a:100,b:80");
     assert_eq!(cache.read_before(&grown), 150);
-    assert_eq!(cache.read_before(&prefix::parse("a:100,b:80,c:9")), 150, "nothing behind it was read");
+    assert_eq!(cache.read_before(&prefix::parse("a:100,b:80,c:9")), 150, "nothing after it was read");
     cache.note(&grown, 1000);
     assert_eq!(cache.read_before(&grown), 180);
 }
--- a/crates/onyxstile-system/tests/support/endpoints.rs
+++ b/crates/onyxstile-system/tests/support/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints and relays that tests of the choice have in common.
+//! Endpoints and relays shared by the tests of endpoint selection.
 
 use onyxstile_system::balance::Endpoints;
 use onyxstile_system::clock::Instant;
@@ -7,7 +7,7 @@
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 
-/// The moment `ms` after the start.
+/// The time `ms` after the start.
 pub fn at(ms: u64) -> Instant {
     Instant::from_millis(ms)
 }
@@ -27,12 +27,12 @@
     }
 }
 
-/// A relay that knows so many endpoints of the service `llm`.
+/// A relay with the given number of endpoints of the service `llm`.
 pub fn relay(zone: &str, endpoints: u32) -> Endpoints {
     named_relay(zone, "relay", endpoints)
 }
 
-/// One with a name of its own.
+/// A relay with the given name.
 pub fn named_relay(zone: &str, name: &str, endpoints: u32) -> Endpoints {
     let mut relay = Endpoints::new(zone, name);
     for number in 0..endpoints {
@@ -41,12 +41,12 @@
     relay
 }
 
-/// A number in 0..1.
+/// A random number in 0..1.
 pub fn random_unit(rng: &mut Pcg64Mcg) -> f64 {
     f64::from(rng.next_u32()) / 4_294_967_296.0
 }
 
-/// A prompt of a shared part and a session's own.
+/// A prompt with a shared part and a session's own part.
 pub fn prompt(shared_part: u32, session: u32) -> Vec<Part> {
     prefix::parse(&format!("{shared_part:x}:2560,{:x}:800", 100_000 + session))
 }
