--- a/crates/onyxstile-system/tests/support/search.rs
+++ b/crates/onyxstile-system/tests/support/search.rs
@@ -1,42 +1,42 @@
-//! Breadth-first search over the states of a model, each once.
+//! Breadth-first search over the states of a model; each state is visited once.
 
 use std::collections::HashSet;
 
 /// A state of a model.
 pub trait Model: Sized {
-    /// What may happen next.
+    /// A possible transition.
     type Action;
-    /// How a variant departs from what should be done.
+    /// A deliberate deviation of the model from correct behaviour.
     type Fault: Copy;
 
     fn actions(&self) -> Vec<Self::Action>;
     fn after(&self, action: Self::Action, fault: Self::Fault) -> Self;
-    /// Alike for states that need not be told apart.
+    /// Equal for states that need not be distinguished.
     fn digest(&self) -> u128;
-    /// What rule is broken here.
+    /// The violated rule, if any.
     fn violation(&self) -> Option<&String>;
 }
 
-/// What a search came to.
+/// Result of a search.
 pub struct SearchResult {
     pub states: usize,
-    /// All states up to this many steps from the start were met.
+    /// All states up to this number of steps from the start were visited.
     pub depth: usize,
-    /// Whether there are no more states within the bounds.
+    /// Whether all states within the limits were visited.
     pub is_exhaustive: bool,
     pub violation: Option<String>,
 }
 
 impl SearchResult {
-    /// Prints how far it went.
+    /// Prints the number of visited states and the depth.
     pub fn report(&self, name: &str) {
-        let whole = if self.is_exhaustive { "all" } else { "not all" };
-        println!("{name}: {} states to depth {}, {whole} within the bounds", self.states, self.depth);
+        let coverage = if self.is_exhaustive { "all" } else { "not all" };
+        println!("{name}: {} states to depth {}, {coverage} within the limits", self.states, self.depth);
     }
 }
 
-/// Searches until a rule is broken or all states within the bounds were met, or `most` of them (`MODEL_STATES` sets another
-/// number).
+/// Searches until a rule is violated, all states within the limits were visited, or `most` states were visited
+/// (`MODEL_STATES` overrides that number).
 pub fn search<M: Model>(start: M, fault: M::Fault, most: usize) -> SearchResult {
     let most = super::variable("MODEL_STATES", most as u64) as usize;
     let mut met = HashSet::from([start.digest()]);
--- a/crates/onyxstile-system/tests/support/store_world.rs
+++ b/crates/onyxstile-system/tests/support/store_world.rs
@@ -1,4 +1,4 @@
-//! Storage machines as the tier world plays them: what is on their disks, and what their process knows.
+//! Storage machines of the tier simulation: the contents of their disks and the state of their processes.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -13,30 +13,30 @@
 use onyxstile_system::storage_plan::{StorageNode, StoragePlan};
 use onyxstile_system::tolerance::Tolerance;
 
-/// How the storage machines depart from what they should do; each has to be caught by the checkers.
+/// Faults of the storage machines; each has to be detected by the checkers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreFault {
-    /// None: nothing may be caught.
+    /// No fault: nothing may be detected.
     None,
-    /// A machine that lost its disk goes on after 8 s with what it could copy.
+    /// A machine that lost its disk becomes complete after 8 s with the records that it could copy.
     Timeout,
-    /// Newcomers are waited for like all others.
+    /// New members are required as sources like all others.
     WaitsForNewcomers,
-    /// A machine that lost its disk answers at once.
+    /// A machine that lost its disk answers immediately.
     AnswersWhileEmpty,
-    /// Which plans it has gone by is forgotten with the process.
+    /// The applied epoch is forgotten on restart.
     ForgetsEpoch,
-    /// The plan changes and a leaving member goes before the copies are made.
+    /// The plan change ends and a leaving member is removed before the copies are made.
     EndsAtOnce,
 }
 
-/// Everything that is on a disk.
+/// Contents of a disk.
 #[derive(Default, Clone)]
 struct Disk {
     log: BTreeMap<RecordNumber, Record>,
     is_complete: bool,
     synced_epoch: u64,
-    /// The newest epoch that it has gone by.
+    /// Newest applied epoch.
     epoch: u64,
 }
 
@@ -52,15 +52,15 @@
     next: RecordNumber,
     pub down_until: Option<u64>,
     pub frozen_until: u64,
-    /// Until then it is cut off from all machines that count; relays reach it.
+    /// Until this time it is cut off from all machines that count; relays can reach it.
     pub cut_until: u64,
-    /// Until then it is cut off from everybody.
+    /// Until this time it is cut off from all other machines.
     pub isolated_until: u64,
     pub is_gone: bool,
     pub is_disk_lost: bool,
 }
 
-/// An answer to a question for changes.
+/// Reply to a request for changes.
 pub struct Changes {
     pub incarnation: u64,
     counter: u64,
@@ -102,7 +102,7 @@
         self.is_gone || (self.is_up(now) && self.cut_until.max(self.isolated_until) <= now)
     }
 
-    /// Which life of its process this is.
+    /// Incarnation of its process.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
@@ -121,7 +121,7 @@
         self.is_disk_lost = true;
     }
 
-    /// A new process reads what the disk holds.
+    /// Starts a new process, which reads the disk.
     pub fn start(&mut self, incarnation: u64, now: u64) {
         self.down_until = None;
         self.incarnation = incarnation;
@@ -136,7 +136,7 @@
         self.next = log.keys().last().map_or(0, |last| last + 1);
     }
 
-    /// The newest epoch that it knows of.
+    /// Newest known epoch.
     pub fn epoch(&self) -> u64 {
         self.plan.epoch.max(self.disk.epoch)
     }
@@ -170,7 +170,7 @@
         (self.index.claim_summary(program), self.index.claims(program))
     }
 
-    /// What it tells of changes after those that `source` has dealt with.
+    /// Changes after those that `source` has processed.
     pub fn changes(&self, source: Source) -> Changes {
         let after = if source.origin == self.incarnation { source.counter } else { 0 };
         let (keys, _) = self.index.changed_since(after, usize::MAX);
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Keys of an answer that it should hold and does not.
+    /// Keys in a reply that this machine should store and does not.
     pub fn wanted(&self, changes: &Changes, tolerance: Tolerance) -> Vec<Key> {
         let own = self.node.address();
         let is_mine = |key: &Key| {
@@ -204,7 +204,7 @@
         changes.keys.iter().filter(is_wanted).map(|(key, _)| key.clone()).collect()
     }
 
-    /// Notes that all of an answer has been copied.
+    /// Records that a complete reply has been copied.
     pub fn copied(
         &mut self, now: u64, from: Ipv4Addr, before: Source, changes: &Changes, evaluated_epoch: u64,
     ) {
@@ -220,7 +220,7 @@
         self.progress.note(Instant::from_millis(now), from, before, copied, self.plan.epoch);
     }
 
-    /// Looks what it may say.
+    /// Updates the assessment of this machine.
     pub fn review(&mut self, now: u64, tolerance: Tolerance, fault: StoreFault) {
         let own = self.node.address();
         let at = Instant::from_millis(now);
--- a/crates/onyxstile-system/tests/tolerance.rs
+++ b/crates/onyxstile-system/tests/tolerance.rs
@@ -1,4 +1,4 @@
-//! Which machines bear the loss of machines, zones and regions together.
+//! Machine groups that survive the loss of machines, zones and regions.
 
 mod support;
 
@@ -15,7 +15,7 @@
     Tolerance { machines, zones, regions }
 }
 
-/// One place for each letter: capital letters are regions, small ones zones of the region before them.
+/// One location per letter: capital letters are regions, small letters are zones of the preceding region.
 fn places(text: &str) -> Vec<Location> {
     let mut region = 'R';
     let mut places = Vec::new();
@@ -35,28 +35,32 @@
 }
 
 #[test]
-fn without_zones_to_lose_the_best_ranked_are_chosen() {
+fn the_best_ranked_are_selected_if_no_zone_loss_is_tolerated() {
     assert_eq!(select_group(ONE, "aaaab"), [0, 1, 2]);
     assert_eq!(select_group(tolerance(2, 0, 0), "aaaabb"), [0, 1, 2, 3, 4]);
 }
 
 #[test]
-fn no_more_stand_in_a_zone_or_region_than_its_loss_may_take() {
+fn zones_and_regions_hold_no_more_members_than_may_be_lost() {
     assert_eq!(select_group(tolerance(1, 1, 0), "aabbc"), [0, 2, 4]);
     assert_eq!(select_group(tolerance(2, 1, 0), "aaabbbc"), [0, 1, 3, 4, 6]);
     assert_eq!(select_group(tolerance(1, 1, 1), "AabBabCab"), [0, 2, 4]);
     assert_eq!(select_group(tolerance(2, 0, 1), "AabcBabcCabc"), [0, 1, 3, 4, 6]);
-    assert_eq!(select_group(tolerance(1, 1, 0), "AaBaCa"), [0, 1, 2], "zones of one name in three regions");
+    assert_eq!(
+        select_group(tolerance(1, 1, 0), "AaBaCa"),
+        [0, 1, 2],
+        "zones with the same name in three regions"
+    );
 }
 
 #[test]
-fn where_no_group_keeps_the_caps_as_many_copies_are_made_all_the_same() {
+fn the_group_is_filled_if_the_caps_cannot_be_met() {
     assert_eq!(select_group(tolerance(1, 1, 0), "aabb"), [0, 1, 2]);
     assert_eq!(select_group(tolerance(1, 1, 0), "ab"), [0, 1]);
 }
 
 #[test]
-fn a_loss_is_covered_that_fits_one_of_the_three() {
+fn a_loss_is_covered_if_it_fits_one_of_the_three_limits() {
     let covers = |tolerance: Tolerance, lost: &str| {
         let lost = places(lost);
         tolerance.covers(&lost.iter().collect::<Vec<_>>())
@@ -68,19 +72,19 @@
 }
 
 #[test]
-fn a_group_taken_as_a_whole_keeps_its_majority_only_without_a_crowd() {
+fn a_group_keeps_its_majority_only_without_a_concentration() {
     let keeps = |tolerance: Tolerance, members: &str| {
         let members = places(members);
         tolerance.keeps_majority(&members.iter().collect::<Vec<_>>())
     };
-    assert!(keeps(ONE, "aaa"), "no zone may be lost");
+    assert!(keeps(ONE, "aaa"), "no zone loss is tolerated");
     assert!(keeps(tolerance(1, 1, 0), "abc") && !keeps(tolerance(1, 1, 0), "aabc"));
     assert!(keeps(tolerance(1, 1, 0), "aabbcc") && !keeps(tolerance(1, 1, 0), "aaabb"));
 }
 
-/// Whichever zone is lost, a quorum of each key is left; by rank alone that fails for many keys.
+/// A quorum of each key remains whichever zone is lost; with selection by rank alone that fails for many keys.
 #[test]
-fn every_key_keeps_its_quorum_through_the_loss_of_any_zone() {
+fn every_key_keeps_its_quorum_after_the_loss_of_any_zone() {
     let zones = ["a", "a", "a", "b", "b", "c", "d"];
     let current = (1..).zip(zones).map(|(number, zone)| storage_in(number, place("r", zone))).collect();
     let plan = StoragePlan { epoch: 1, current, ..StoragePlan::default() };
@@ -96,7 +100,7 @@
     };
     assert_eq!(breaks(tolerance(1, 1, 0)), 0);
     assert_eq!(breaks(tolerance(2, 1, 0)), 0);
-    assert!(breaks(ONE) > 100, "machines alone may be lost");
+    assert!(breaks(ONE) > 100, "only machine losses are tolerated");
 }
 
 fn group_holds(
@@ -105,18 +109,17 @@
     group.members.contains(&node.address())
 }
 
-/// Over random machines: where the places allow it, a chosen group keeps its majority through every loss of the tolerated
-/// kind; and whatever a plan may give up without breaking that, it keeps that.
+/// Over random machines: where the locations allow it, a selected group keeps its majority after every tolerated loss.
 #[test]
-fn whatever_the_places_a_group_that_can_bear_a_loss_bears_it() {
+fn a_satisfiable_tolerance_is_met_by_the_selected_group() {
     let mut satisfiable = 0;
     for seed in 0..4000u64 {
         let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut roll = |sides: u32| rng.next_u32() % sides;
         let tolerance = tolerance(roll(3) as usize, roll(3) as usize, roll(2) as usize);
-        let stand: Vec<Location> =
+        let locations_drawn: Vec<Location> =
             (0..1 + roll(12)).map(|_| place(&format!("r{}", roll(3)), &format!("z{}", roll(4)))).collect();
-        let places: Vec<&Location> = stand.iter().collect();
+        let places: Vec<&Location> = locations_drawn.iter().collect();
         let chosen: Vec<&Location> =
             tolerance.select_group(&places).into_iter().map(|index| places[index]).collect();
         assert_eq!(chosen.len(), tolerance.group_size().min(places.len()), "seed {seed}");
@@ -142,5 +145,5 @@
         }
         assert!(chosen.len() - tolerance.machines >= quorum, "seed {seed}");
     }
-    assert!(satisfiable > 400, "{satisfiable} of 4,000 can bear their losses");
+    assert!(satisfiable > 400, "{satisfiable} of 4,000 can meet their tolerance");
 }
--- a/crates/onyxstile-system/tests/turn_model.rs
+++ b/crates/onyxstile-system/tests/turn_model.rs
@@ -1,11 +1,13 @@
-//! Model checking of turn quorums through changes of the storage plan: four storage machines, of which one leaves and one
-//! joins, one record, every order of deliveries, copies, plans, one wipe, one restart, one cut and its end, breadth first,
-//! each state once. What a machine may say is decided by the code itself (`Progress`, `StoragePlan`, `Quorum`).
+//! Model checking of turn quorums during changes of the storage plan: four storage machines, of which one leaves or
+//! joins, and one record. Explores every order of deliveries, copies, plan changes, one wipe, one restart, one network
+//! cut and its end, breadth first, each state once. The statements that a machine may make are decided by the code
+//! under test (`Progress`, `StoragePlan`, `Quorum`).
 //!
-//! In each state it is checked that a record that was kept is not told to be nowhere by any quorum, by any plan that a relay
-//! may still go by, and that somebody holds it. Left out, for it changes nothing here: the contents of a record, other keys
-//! (each has a group of its own; here it is all three members), and losses of messages (one that is not delivered is lost).
-//! `MODEL_STATES` sets how many states a scenario may expand; the default keeps the run short.
+//! In each state it is checked that no quorum reports an acknowledged record as absent, under any plan that a relay may
+//! still use, and that some machine stores it. Not modelled, because they make no difference here: the contents of a
+//! record, other keys (each has its own group, which here contains all three members), and message loss (equivalent to
+//! a message that is not delivered). `MODEL_STATES` sets how many states a scenario may expand; the default keeps the
+//! run short.
 
 mod support;
 
@@ -18,23 +20,23 @@
 use support::{ONE, address, plan, storage};
 
 const STATES: usize = 8_000;
-/// All are members and 1 leaves, or 2 to 4 are and 1 joins.
+/// All are members and 1 leaves, or 2 to 4 are members and 1 joins.
 const MACHINES: [u8; 4] = [1, 2, 3, 4];
 const ALL: [usize; 4] = [0, 1, 2, 3];
 const LEAVES: u8 = 1;
-/// Plans go no further.
+/// Epoch of the last plan that is explored.
 const EPOCHS: u64 = 5;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A wiped machine is whole at once.
+    /// A wiped machine is complete at once.
     AnswersWhileEmpty,
-    /// A machine that was restarted has gone by no plan.
+    /// A restarted machine forgets the epoch that it has applied.
     ForgetsEpoch,
-    /// The change ends as soon as all go by the plan.
+    /// The change ends as soon as all machines have applied the plan.
     EndsAtOnce,
-    /// A write is acknowledged by the plan that it began with.
+    /// A write is acknowledged under the plan with which it started.
     NoEpochRecheck,
 }
 
@@ -50,7 +52,7 @@
     incarnation: u64,
     plan: u64,
     progress: Progress,
-    /// A write that its disk has yet to take.
+    /// Whether a write has not reached its disk yet.
     is_writing: bool,
     is_cut: bool,
     is_gone: bool,
@@ -79,7 +81,7 @@
     agreed: u64,
     /// Whether 1 has been asked to leave.
     is_retired: bool,
-    /// The epoch that the relay went by when it sent the record.
+    /// The relay's epoch when it sent the record.
     sent_by: u64,
     acknowledged: Vec<bool>,
     is_acknowledged: bool,
@@ -91,13 +93,13 @@
     violation: Option<String>,
 }
 
-/// A key whose group among all four holds machine 1.
+/// A key whose group among all four machines includes machine 1.
 fn key() -> String {
     let holds = |key: &String| group(key).contains(&0);
     (0..100).map(|number| format!("t{number}")).find(holds).expect("one of a hundred")
 }
 
-/// The group of a key among all four.
+/// The group of a key among all four machines.
 fn group(key: &str) -> Vec<usize> {
     let members = Quorum::new(&plan(1, &MACHINES, &[]), key, ONE).members();
     ALL.into_iter().filter(|index| members.contains(&address(MACHINES[*index]))).collect()
@@ -152,8 +154,9 @@
         !self.stores[index].is_cut && !self.stores[index].is_gone
     }
 
-    /// Copies that may make a difference to a rule. Others only spread the record, and more holders break nothing: those of a
-    /// machine that is whole outside the change or leaves, and those from a newcomer that is not synced.
+    /// Copies that may affect a rule. Others only distribute the record further, and additional holders violate no
+    /// rule: copies to a machine that is complete and outside the change or leaving, and copies from a new member that
+    /// is not synced.
     fn copies(&self, to: usize) -> Vec<Action> {
         let store = &self.stores[to];
         let plan = self.plan(store.plan);
@@ -179,7 +182,7 @@
         store.is_writing = false;
     }
 
-    /// A write is looked at when it arrives and again once the disk has taken it.
+    /// A write is checked when it arrives and again once it is on the disk.
     fn arrive(&mut self, index: usize) {
         let store = &mut self.stores[index];
         store.is_writing = store.epoch.max(store.plan) <= self.sent_by;
@@ -228,7 +231,7 @@
         store.progress.note(now, address(MACHINES[from]), before, copied, own_plan);
     }
 
-    /// What each machine may say now.
+    /// Updates the assessment of each machine.
     fn review(&mut self) {
         let now = Instant::from_millis(self.now);
         let plans = self.plans.clone();
@@ -243,7 +246,8 @@
         }
     }
 
-    /// The head writes the next plan, if there is one: at first that 1 leaves and 4 joins, and whatever the code makes of it.
+    /// The head of the chain writes the next plan, if there is one: first that 1 leaves or joins, then the plans that
+    /// the code under test derives.
     fn agree(&mut self, fault: Fault) {
         let newest = self.plan(self.agreed);
         if !self.is_retired
@@ -266,7 +270,7 @@
 
     fn take(&mut self, next: StoragePlan) {
         self.agreed = next.epoch;
-        // One that was retired is taken away with its disk once the change has ended.
+        // A retired machine is removed with its disk once the change has ended.
         if next.is_retirement_complete("storage-1") == Some(true) {
             self.stores[usize::from(LEAVES) - 1].is_gone = true;
         }
@@ -278,13 +282,13 @@
             return;
         }
         if !self.stores.iter().any(|store| store.has_record && !store.is_gone) {
-            self.violation = Some("a kept record is nowhere".into());
+            self.violation = Some("an acknowledged record is lost".into());
         }
         for epoch in 1..=self.agreed {
             let mut quorum = Quorum::new(&self.plan(epoch), &key(), ONE);
             let reports_absent = |index: &usize| {
                 let store = &self.stores[*index];
-                // Whoever is cut off from the others still answers relays.
+                // A machine that is cut off from the others still answers relays.
                 !store.is_gone
                     && store.is_complete
                     && !store.has_record
@@ -292,12 +296,13 @@
             };
             let absent = (0..MACHINES.len()).filter(reports_absent);
             if absent.fold(false, |_, index| quorum.count(address(MACHINES[index]))) {
-                self.violation = Some(format!("a quorum by plan {epoch} says that a kept record is nowhere"));
+                self.violation =
+                    Some(format!("a quorum under plan {epoch} reports an acknowledged record as absent"));
             }
         }
     }
 
-    /// Who is a member by each plan.
+    /// Members of each plan.
     fn members(&self) -> Vec<[Vec<(usize, u64)>; 2]> {
         let members = |nodes: &[StorageNode]| {
             let mut members: Vec<(usize, u64)> =
@@ -413,7 +418,7 @@
             );
             for other in ALL {
                 let mut source = store.progress.source(address(MACHINES[other]));
-                // Of lives it matters only whether they are the same.
+                // Only equality of incarnations matters.
                 source.origin = u64::from(source.origin == self.stores[other].incarnation);
                 text += &format!(" {source:?}");
             }
@@ -431,7 +436,7 @@
 }
 
 #[test]
-fn a_kept_record_is_never_told_to_be_nowhere_through_a_change_a_wipe_and_a_cut() {
+fn an_acknowledged_record_is_never_reported_absent() {
     for (name, start) in [
         ("one leaves, a wipe", State::start(false, 1, 0, 0)),
         ("one leaves, a cut", State::start(false, 0, 0, 1)),
@@ -440,14 +445,14 @@
         ("one joins, a wipe", State::start(true, 1, 0, 0)),
         ("one joins, a wipe and a cut", State::start(true, 1, 0, 1)),
     ] {
-        let searched = search(start, Fault::None);
-        searched.report(name);
-        assert_eq!(searched.violation, None, "{name}");
-        assert!(searched.is_exhaustive || searched.depth >= 4, "{name}: depth {}", searched.depth);
+        let result = search(start, Fault::None);
+        result.report(name);
+        assert_eq!(result.violation, None, "{name}");
+        assert!(result.is_exhaustive || result.depth >= 4, "{name}: depth {}", result.depth);
     }
 }
 
-/// What rule is broken on the way through some steps, if any.
+/// Violation on the path through the given steps, if any.
 fn violation_after(fault: Fault, steps: &[Action]) -> Option<String> {
     let mut state = State::start(false, 1, 1, 1);
     for step in steps {
@@ -461,10 +466,10 @@
 }
 
 #[test]
-fn each_flaw_is_caught() {
+fn each_fault_is_detected() {
     use Action::{Agree, Arrive, Copy, Cut, Heal, Learn, Restart, Send, Wipe, Write};
     let written = |index| [Arrive(index), Write(index)];
-    // The group by the first plan is 1, `one` and `other`; `outside` is none of it.
+    // The group under the first plan is 1, `one` and `other`; `outside` is not part of it.
     let group = group(&key());
     let (one, other) = (group[1], group[2]);
     let outside = ALL.into_iter().find(|index| !group.contains(index)).expect("a fourth");
@@ -473,16 +478,16 @@
         .into_iter()
         .flat_map(|to| ALL.into_iter().filter(move |from| *from != to).map(move |from| Copy(to, from)))
         .collect();
-    // 1 and `one` keep it, `other` missed it; then `one` loses its disk.
+    // 1 and `one` store the record, `other` missed it; then `one` loses its disk.
     let kept = [&[Send][..], &written(0), &written(one)].concat();
     let wiped = [&kept[..], &[Wipe(one), Learn(one)]].concat();
     assert!(violation_after(Fault::AnswersWhileEmpty, &wiped).is_some());
     assert_eq!(violation_after(Fault::None, &wiped), None);
-    // The change ends and 1 is taken away, when `one` loses its disk.
+    // The change ends and 1 is removed; then `one` loses its disk.
     let ended = [&kept[..], &[Agree], &learn, &[Agree, Wipe(one)]].concat();
     assert!(violation_after(Fault::EndsAtOnce, &ended).is_some());
-    // 1 is cut off and hears of nothing while the others copy; then `one` is restarted, and both take the record by the
-    // first plan.
+    // 1 is cut off and receives nothing while the others copy; then `one` is restarted, and both store the record under
+    // the first plan.
     let copies_without_first: Vec<Action> =
         copies.iter().copied().filter(|copy| !matches!(copy, Copy(_, 0))).collect();
     let behind = [
@@ -498,7 +503,7 @@
     ]
     .concat();
     assert!(violation_after(Fault::ForgetsEpoch, &behind).is_some());
-    // The record arrives before the plan and reaches the disks after the copies were made.
+    // The record arrives before the plan and reaches the disks after the copies.
     let late = [
         &[Send, Arrive(0), Arrive(one), Agree, Learn(0)][..],
         &learn,
