--- a/crates/onyxstile-system/src/balance.rs
+++ b/crates/onyxstile-system/src/balance.rs
@@ -175,8 +175,13 @@
 
     /// Mean latency, in ms, of the endpoints that have answered.
     fn mean_latency(&self, pool: &[EndpointKey]) -> f64 {
-        let known: Vec<f64> = pool.iter().filter_map(|key| self.slots[*key].measured_latency_ms()).collect();
-        if known.is_empty() { UNKNOWN_LATENCY_MS } else { known.iter().sum::<f64>() / known.len() as f64 }
+        let measured: Vec<f64> =
+            pool.iter().filter_map(|key| self.slots[*key].measured_latency_ms()).collect();
+        if measured.is_empty() {
+            UNKNOWN_LATENCY_MS
+        } else {
+            measured.iter().sum::<f64>() / measured.len() as f64
+        }
     }
 
     /// Cost of a tool call. An endpoint that has not answered yet is assumed to be as fast as the others.
@@ -191,16 +196,16 @@
         order: impl Iterator<Item = EndpointKey>, typical: Occupancy,
     ) -> Vec<(f64, EndpointKey)> {
         let affinity = self.affinity(pool, requirements);
-        let held: Vec<(EndpointKey, u64)> =
+        let cached_by_endpoint: Vec<(EndpointKey, u64)> =
             order.map(|key| (key, self.slots[key].cache.held(requirements.parts))).collect();
-        let most_held = held.iter().map(|(_, tokens)| *tokens).max().unwrap_or(0);
-        let prompt = Prompt::new(requirements.parts, &affinity, most_held);
-        let cost = |(key, known): (EndpointKey, u64)| {
+        let max_cached = cached_by_endpoint.iter().map(|(_, tokens)| *tokens).max().unwrap_or(0);
+        let prompt = Prompt::new(requirements.parts, &affinity, max_cached);
+        let cost = |(key, cached): (EndpointKey, u64)| {
             let endpoint = &self.slots[key];
             let load_cost = cost::load_cost(endpoint, endpoint.occupancy(now, typical));
-            (self.base_cost(endpoint) + prompt.read_cost(key, known) + load_cost, key)
+            (self.base_cost(endpoint) + prompt.read_cost(key, cached) + load_cost, key)
         };
-        held.into_iter().map(cost).collect()
+        cached_by_endpoint.into_iter().map(cost).collect()
     }
 
     fn affinity(&self, pool: &[EndpointKey], requirements: &CallRequirements<'_>) -> Affinity {
--- a/crates/onyxstile-system/src/balance/cost.rs
+++ b/crates/onyxstile-system/src/balance/cost.rs
@@ -38,16 +38,16 @@
 }
 
 impl<'a> Prompt<'a> {
-    /// Creates the data for a prompt; `most_held` is the largest number of its tokens that an endpoint is known to have
+    /// Creates the data for a prompt; `max_cached` is the largest number of its tokens that an endpoint is known to have
     /// cached.
-    pub(super) fn new(parts: &'a [Part], affinity: &'a Affinity, most_held: u64) -> Prompt<'a> {
+    pub(super) fn new(parts: &'a [Part], affinity: &'a Affinity, max_cached: u64) -> Prompt<'a> {
         let first = parts.first().map_or(0, |part| u64::from(part.tokens));
-        Prompt { parts, affinity, is_continuation_cached: most_held > first }
+        Prompt { parts, affinity, is_continuation_cached: max_cached > first }
     }
 
-    /// Expected number of cached tokens at an endpoint that is known to have cached `known` of them.
-    fn expected_held(&self, key: EndpointKey, known: u64) -> f64 {
-        let mut expected = known as f64;
+    /// Expected number of cached tokens at an endpoint that is known to have cached `cached` of them.
+    fn expected_cached(&self, key: EndpointKey, cached: u64) -> f64 {
+        let mut expected = cached as f64;
         if self.affinity.is_preferred_for_prefix(key) {
             expected = expected.max(AFFINITY_CONFIDENCE * tokens(&self.parts[..1]) as f64);
         }
@@ -60,8 +60,8 @@
         expected
     }
 
-    /// Cost of reading the prompt, in ms, at an endpoint that is known to have cached `known` of its tokens.
-    pub(super) fn read_cost(&self, key: EndpointKey, known: u64) -> f64 {
+    /// Cost of reading the prompt, in ms, at an endpoint that is known to have cached `cached` of its tokens.
+    pub(super) fn read_cost(&self, key: EndpointKey, cached: u64) -> f64 {
         let all = tokens(self.parts) as f64;
         let is_first_turn = self.parts.len() <= 2;
         let gain = if is_first_turn && self.affinity.is_preferred_for_program(key) {
@@ -69,7 +69,7 @@
         } else {
             0.0
         };
-        (all - self.expected_held(key, known)).max(0.0) / READ_TOKENS_PER_MS - gain
+        (all - self.expected_cached(key, cached)).max(0.0) / READ_TOKENS_PER_MS - gain
     }
 }
 
--- a/crates/onyxstile-system/src/balance/health.rs
+++ b/crates/onyxstile-system/src/balance/health.rs
@@ -36,8 +36,8 @@
 
     /// Records that a call sent at `at` was answered, has failed or was given up.
     pub fn ended(&mut self, at: Instant) {
-        if let Some(place) = self.unanswered.iter().position(|sent| *sent == at) {
-            self.unanswered.swap_remove(place);
+        if let Some(index) = self.unanswered.iter().position(|sent| *sent == at) {
+            self.unanswered.swap_remove(index);
         }
     }
 
@@ -81,6 +81,6 @@
     }
 
     fn shared(&self, now: Instant) -> f64 {
-        self.shared.map_or(0.0, |(part, at)| part * decay_factor(now.since(at)))
+        self.shared.map_or(0.0, |(fraction, at)| fraction * decay_factor(now.since(at)))
     }
 }
--- a/crates/onyxstile-system/src/balance/streams.rs
+++ b/crates/onyxstile-system/src/balance/streams.rs
@@ -27,7 +27,7 @@
     /// Tokens that the endpoint is expected to read.
     tokens: f64,
     /// Whether the token count is known rather than estimated.
-    is_sure: bool,
+    is_exact: bool,
     /// Expected time until the first event at an idle endpoint, in ms; `None` while that is unknown.
     idle_ms: Option<f64>,
 }
@@ -62,8 +62,8 @@
             admission.wait(now, idle_ms);
         }
         // This relay has sent all but the last part to that endpoint.
-        let is_sure = parts.last().is_some_and(|last| unread <= u64::from(last.tokens));
-        Some(PendingStream { key, service, since: now, tokens: unread as f64, is_sure, idle_ms })
+        let is_exact = parts.last().is_some_and(|last| unread <= u64::from(last.tokens));
+        Some(PendingStream { key, service, since: now, tokens: unread as f64, is_exact, idle_ms })
     }
 
     /// Records the first event of a stream.
@@ -74,7 +74,7 @@
             admission.note(now, ms, idle_ms);
         }
         if let Some(endpoint) = self.slots.get(expected.key) {
-            timing.note_first_event(expected.tokens, expected.is_sure, ms, endpoint.last_load());
+            timing.note_first_event(expected.tokens, expected.is_exact, ms, endpoint.last_load());
         }
     }
 
--- a/crates/onyxstile-system/src/prefix.rs
+++ b/crates/onyxstile-system/src/prefix.rs
@@ -35,7 +35,7 @@
     parts: HashMap<u64, (u32, u64)>,
     order: BTreeMap<u64, u64>,
     tokens: u64,
-    stamp: u64,
+    last_use: u64,
 }
 
 impl Cache {
@@ -63,13 +63,13 @@
     /// Records a prompt sent to the endpoint; `capacity` is the size of the endpoint's cache in tokens.
     pub fn note(&mut self, parts: &[Part], capacity: u64) {
         for part in parts {
-            self.stamp += 1;
-            if let Some((tokens, stamp)) = self.parts.insert(part.chain, (part.tokens, self.stamp)) {
-                self.order.remove(&stamp);
+            self.last_use += 1;
+            if let Some((tokens, last_use)) = self.parts.insert(part.chain, (part.tokens, self.last_use)) {
+                self.order.remove(&last_use);
                 self.tokens -= u64::from(tokens);
             }
             self.tokens += u64::from(part.tokens);
-            self.order.insert(self.stamp, part.chain);
+            self.order.insert(self.last_use, part.chain);
         }
         while self.tokens > capacity {
             let Some((_, chain)) = self.order.pop_first() else { break };
--- a/crates/onyxstile-system/src/program/index.rs
+++ b/crates/onyxstile-system/src/program/index.rs
@@ -34,7 +34,7 @@
         MergeResult { has_changed: true, obsolete: replaced }
     }
 
-    fn known(held: RecordNumber, number: RecordNumber) -> MergeResult {
+    fn unchanged(held: RecordNumber, number: RecordNumber) -> MergeResult {
         MergeResult { has_changed: false, obsolete: (held != number).then_some(number) }
     }
 }
@@ -96,7 +96,7 @@
 
     fn merge_turn(&mut self, now: Instant, age: Duration, turn: &Turn, number: RecordNumber) -> MergeResult {
         if let Some(held) = self.turns.get(&turn.id) {
-            return MergeResult::known(held.number, number);
+            return MergeResult::unchanged(held.number, number);
         }
         let counter = self.note(Key::Turn(turn.id.clone()));
         let kept = Duration::from_millis(turn.retention_ms) + RETENTION_SLACK;
@@ -110,7 +110,7 @@
     ) -> MergeResult {
         let held = self.held_claim(program, &entry.request);
         if let Some(held) = held.filter(|held| held.entry.version() >= entry.version()) {
-            return MergeResult::known(held.number, number);
+            return MergeResult::unchanged(held.number, number);
         }
         let counter = self.note(Key::ClaimEntry(program.to_owned(), entry.request.clone()));
         let held = self.programs.entry(program.to_owned()).or_default();
@@ -171,11 +171,11 @@
         }
     }
 
-    /// At most `most` keys changed after `counter`, oldest first, with their versions, and the counter of the last one.
-    pub fn changed_since(&self, counter: u64, most: usize) -> (Vec<(Key, u8)>, u64) {
+    /// At most `max_keys` keys changed after `counter`, oldest first, with their versions, and the counter of the last one.
+    pub fn changed_since(&self, counter: u64, max_keys: usize) -> (Vec<(Key, u8)>, u64) {
         let mut last = counter;
         let mut keys = Vec::new();
-        for (counter, key) in self.changes.range(counter + 1..).take(most) {
+        for (counter, key) in self.changes.range(counter + 1..).take(max_keys) {
             last = *counter;
             keys.push((key.clone(), self.version(key)));
         }
--- a/crates/onyxstile-system/src/program/turn_cache.rs
+++ b/crates/onyxstile-system/src/program/turn_cache.rs
@@ -7,26 +7,26 @@
 
 /// Turns in memory, limited in bytes.
 pub struct TurnCache {
-    most_bytes: usize,
+    max_bytes: usize,
     bytes: usize,
-    stamp: u64,
+    last_use: u64,
     turns: HashMap<String, (Rc<Turn>, u64)>,
     order: BTreeMap<u64, String>,
 }
 
 impl TurnCache {
-    /// Creates a cache for at most `most_bytes` bytes of turns.
-    pub fn new(most_bytes: usize) -> TurnCache {
-        TurnCache { most_bytes, bytes: 0, stamp: 0, turns: HashMap::new(), order: BTreeMap::new() }
+    /// Creates a cache for at most `max_bytes` bytes of turns.
+    pub fn new(max_bytes: usize) -> TurnCache {
+        TurnCache { max_bytes, bytes: 0, last_use: 0, turns: HashMap::new(), order: BTreeMap::new() }
     }
 
     /// Returns a turn and marks it as used.
     pub fn get(&mut self, id: &str) -> Option<Rc<Turn>> {
-        let (turn, stamp) = self.turns.get_mut(id)?;
-        self.stamp += 1;
-        self.order.remove(stamp);
-        *stamp = self.stamp;
-        self.order.insert(self.stamp, id.to_owned());
+        let (turn, last_use) = self.turns.get_mut(id)?;
+        self.last_use += 1;
+        self.order.remove(last_use);
+        *last_use = self.last_use;
+        self.order.insert(self.last_use, id.to_owned());
         Some(turn.clone())
     }
 
@@ -35,11 +35,11 @@
         if self.turns.contains_key(&turn.id) {
             return;
         }
-        self.stamp += 1;
+        self.last_use += 1;
         self.bytes += turn.bytes();
-        self.order.insert(self.stamp, turn.id.clone());
-        self.turns.insert(turn.id.clone(), (turn, self.stamp));
-        while self.bytes > self.most_bytes {
+        self.order.insert(self.last_use, turn.id.clone());
+        self.turns.insert(turn.id.clone(), (turn, self.last_use));
+        while self.bytes > self.max_bytes {
             let Some((_, id)) = self.order.pop_first() else { break };
             if let Some((turn, _)) = self.turns.remove(&id) {
                 self.bytes -= turn.bytes();
--- a/crates/onyxstile-system/src/stream_timing.rs
+++ b/crates/onyxstile-system/src/stream_timing.rs
@@ -73,8 +73,8 @@
 impl StreamTiming {
     /// Records that a first event arrived after `ms` where `tokens` tokens had to be read; `load` is the load reported
     /// with it.
-    pub fn note_first_event(&mut self, tokens: f64, is_sure: bool, ms: f64, load: Option<Load>) {
-        let weight = weight(load) * if is_sure { 1.0 } else { ESTIMATE_WEIGHT };
+    pub fn note_first_event(&mut self, tokens: f64, is_exact: bool, ms: f64, load: Option<Load>) {
+        let weight = weight(load) * if is_exact { 1.0 } else { ESTIMATE_WEIGHT };
         let capped =
             if self.is_warmed_up() { ms.min(self.first_event_ms(tokens) * TIME_FACTOR_MAX) } else { ms };
         self.reading.decay(CALL_DECAY.powf(weight));
--- a/crates/onyxstile-system/tests/connections.rs
+++ b/crates/onyxstile-system/tests/connections.rs
@@ -53,7 +53,7 @@
 }
 
 /// Starts calls until the relay finds no endpoint to which it may hold one more connection.
-fn take_up_all(relay: &mut Endpoints, rng: &mut Pcg64Mcg) {
+fn start_calls(relay: &mut Endpoints, rng: &mut Pcg64Mcg) {
     let requirements = CallRequirements { service: SERVICE, ..CallRequirements::default() };
     while let Some(key) = relay.choose(at(0), &requirements, random_unit(rng)) {
         let in_flight = relay.get(key).expect("is known").in_flight();
@@ -70,21 +70,21 @@
     for _ in 0..60 {
         let relays = 1 + rng.next_u32() as usize % 80;
         let endpoints = 1 + rng.next_u32() as usize % 8;
-        let most = relays as u64 * 10 / 9 + 1 + u64::from(rng.next_u32() % 400);
+        let limit = relays as u64 * 10 / 9 + 1 + u64::from(rng.next_u32() % 400);
         let mut held = vec![0; endpoints];
         for number in 0..relays {
             let mut relay = relay(number, endpoints);
             relay.set_relays(relays as u32);
-            relay.set_limits(limits(most, false));
-            take_up_all(&mut relay, &mut rng);
+            relay.set_limits(limits(limit, false));
+            start_calls(&mut relay, &mut rng);
             for (endpoint, held) in held.iter_mut().enumerate() {
                 let key = relay.key(&format!("i-{endpoint}")).expect("is known");
                 *held += u64::from(relay.get(key).expect("is known").in_flight());
             }
         }
         let busiest = held.iter().max().expect("an endpoint");
-        assert!(*busiest <= most, "{relays} relays hold {held:?} of {most}");
-        assert!(held.iter().all(|held| held * 2 >= most.min(relays as u64)), "{held:?} of {most}");
+        assert!(*busiest <= limit, "{relays} relays hold {held:?} of {limit}");
+        assert!(held.iter().all(|held| held * 2 >= limit.min(relays as u64)), "{held:?} of {limit}");
     }
 }
 
@@ -110,18 +110,18 @@
 
 #[test]
 fn relays_call_a_subset_of_endpoints_that_accept_fewer_connections_than_relays() {
-    let (relays, endpoints, most) = (90, 30, 40);
+    let (relays, endpoints, limit) = (90, 30, 40);
     let mut rng = Pcg64Mcg::new(53);
     let mut callers: HashMap<EndpointKey, u32> = HashMap::new();
     for number in 0..relays {
         let mut relay = relay(number, endpoints);
         relay.set_relays(relays as u32);
-        relay.set_limits(limits(most, true));
+        relay.set_limits(limits(limit, true));
         let called = called(&relay, &mut rng);
         assert!(called.len() >= 2, "a relay calls {}", called.len());
         called.iter().for_each(|key| *callers.entry(*key).or_default() += 1);
     }
-    let over: u32 = callers.values().map(|callers| callers.saturating_sub(most as u32)).sum();
+    let over: u32 = callers.values().map(|callers| callers.saturating_sub(limit as u32)).sum();
     let all: u32 = callers.values().sum();
     assert_eq!(callers.len(), endpoints);
     assert!(f64::from(over) <= 0.03 * f64::from(all), "{over} of {all} exceed the connection limits");
--- a/crates/onyxstile-system/tests/health.rs
+++ b/crates/onyxstile-system/tests/health.rs
@@ -76,10 +76,10 @@
         let calls_by_endpoint = run_calls(&mut relay, 30_000, 500, may_repeat, &mut rng, |_, _| false);
         let count = |key| calls_by_endpoint.get(&key).copied().unwrap_or(0);
         // An endpoint of the same zone that was never unhealthy.
-        let twin = count(relay.key("i-7").expect("is known"));
+        let comparable = count(relay.key("i-7").expect("is known"));
         assert!(
-            count(unhealthy) * 2 > twin,
-            "{} of 500, a comparable endpoint gets {twin}",
+            count(unhealthy) * 2 > comparable,
+            "{} of 500, a comparable endpoint gets {comparable}",
             count(unhealthy)
         );
     }
@@ -137,8 +137,8 @@
     let calls_by_endpoint =
         run_calls(&mut relay, 0, 2_000, false, &mut rng, |_, rng| rng.next_u32().is_multiple_of(3));
     assert_eq!(calls_by_endpoint.len(), 8, "each endpoint is called");
-    let most = calls_by_endpoint.values().max().copied().unwrap_or(0);
-    assert!(most < 600, "{most} of 2,000 calls went to one endpoint, an even share is 250");
+    let busiest = calls_by_endpoint.values().max().copied().unwrap_or(0);
+    assert!(busiest < 600, "{busiest} of 2,000 calls went to one endpoint, an even share is 250");
 }
 
 #[test]
--- a/crates/onyxstile-system/tests/programs.rs
+++ b/crates/onyxstile-system/tests/programs.rs
@@ -79,8 +79,8 @@
         self.index.claims(program)
     }
 
-    fn changed_since(&self, counter: u64, most: usize) -> (Vec<(Key, u8)>, u64) {
-        self.index.changed_since(counter, most)
+    fn changed_since(&self, counter: u64, max_keys: usize) -> (Vec<(Key, u8)>, u64) {
+        self.index.changed_since(counter, max_keys)
     }
 }
 
@@ -93,9 +93,9 @@
 
 impl QuorumReply {
     /// Whether a turn is admitted. The summaries must not contradict the claims.
-    fn admits(&self, budget: u64, request: &str, most: u64) -> bool {
-        let exact = fits_budget(budget, request, most, &self.claims);
-        match admit(budget, request, most, &self.summaries) {
+    fn admits(&self, budget: u64, request: &str, max_tokens: u64) -> bool {
+        let exact = fits_budget(budget, request, max_tokens, &self.claims);
+        match admit(budget, request, max_tokens, &self.summaries) {
             BudgetDecision::Fits => assert!(exact, "admitted beyond the budget: {:?}", self.summaries),
             BudgetDecision::Exhausted => assert!(!exact, "refused within the budget: {:?}", self.summaries),
             BudgetDecision::Inconclusive => {}
@@ -108,7 +108,7 @@
 struct Cluster {
     plan: StoragePlan,
     stores: BTreeMap<Ipv4Addr, Store>,
-    away: BTreeSet<Ipv4Addr>,
+    unavailable: BTreeSet<Ipv4Addr>,
     empty: BTreeSet<Ipv4Addr>,
     tolerance: Tolerance,
     now: u64,
@@ -121,7 +121,7 @@
         Cluster {
             plan: plan(1, &members, &[]),
             stores: members.iter().map(|number| (address(*number), Store::default())).collect(),
-            away: BTreeSet::new(),
+            unavailable: BTreeSet::new(),
             empty: BTreeSet::new(),
             tolerance,
             now: 0,
@@ -146,7 +146,7 @@
         }
         let mut reply = QuorumReply::default();
         for member in members {
-            if self.away.contains(&member) {
+            if self.unavailable.contains(&member) {
                 continue;
             }
             self.merge(member, record);
@@ -169,7 +169,7 @@
     fn repair(&mut self, ip: Ipv4Addr) {
         let mut records = Vec::new();
         for (other, store) in &self.stores {
-            if *other == ip || self.away.contains(other) {
+            if *other == ip || self.unavailable.contains(other) {
                 continue;
             }
             let (keys, _) = store.changed_since(0, usize::MAX);
@@ -190,17 +190,17 @@
 
     fn find(&self, id: &str) -> Option<Rc<Turn>> {
         let members = Quorum::new(&self.plan, id, self.tolerance).members();
-        members.iter().filter(|ip| !self.away.contains(ip)).find_map(|ip| self.stores[ip].turn(id))
+        members.iter().filter(|ip| !self.unavailable.contains(ip)).find_map(|ip| self.stores[ip].turn(id))
     }
 
-    fn lose(&mut self, rng: &mut Pcg64Mcg) -> Ipv4Addr {
+    fn lose_machine(&mut self, rng: &mut Pcg64Mcg) -> Ipv4Addr {
         let members: Vec<Ipv4Addr> = self.stores.keys().copied().collect();
         let ip = members[rng.next_u32() as usize % members.len()];
         if rng.next_u32().is_multiple_of(2) {
             self.stores.insert(ip, Store::default());
             self.empty.insert(ip);
         }
-        self.away.insert(ip);
+        self.unavailable.insert(ip);
         ip
     }
 }
@@ -225,34 +225,34 @@
             Some((ip, left)) => {
                 *left -= 1;
                 if *left == 10 {
-                    cluster.away.remove(ip);
+                    cluster.unavailable.remove(ip);
                 }
             }
-            None if rng.next_u32().is_multiple_of(6) => lost = Some((cluster.lose(&mut rng), 14)),
+            None if rng.next_u32().is_multiple_of(6) => lost = Some((cluster.lose_machine(&mut rng), 14)),
             None => {}
         }
         if !open.is_empty() && rng.next_u32().is_multiple_of(2) {
-            let (request, most) = open.swap_remove(rng.next_u32() as usize % open.len());
-            let tokens = u64::from(rng.next_u32()) % (most + 1);
+            let (request, max_tokens) = open.swap_remove(rng.next_u32() as usize % open.len());
+            let tokens = u64::from(rng.next_u32()) % (max_tokens + 1);
             received += tokens;
             if !rng.next_u32().is_multiple_of(16) {
-                let entry = claim(&request, most, Some(tokens));
+                let entry = claim(&request, max_tokens, Some(tokens));
                 cluster.write(&Record::ClaimEntry { program: "p".into(), entry }, &mut rng);
             }
             continue;
         }
-        let (request, most) = (format!("r{step}"), 1 + u64::from(rng.next_u32() % 120));
-        let entry = claim(&request, most, None);
+        let (request, max_tokens) = (format!("r{step}"), 1 + u64::from(rng.next_u32() % 120));
+        let entry = claim(&request, max_tokens, None);
         let claims = cluster.write(&Record::ClaimEntry { program: "p".into(), entry }, &mut rng);
         match claims {
-            Some(reply) if reply.admits(budget, &request, most) => open.push((request, most)),
+            Some(reply) if reply.admits(budget, &request, max_tokens) => open.push((request, max_tokens)),
             _ => {
-                let entry = claim(&request, most, Some(0));
+                let entry = claim(&request, max_tokens, Some(0));
                 cluster.write(&Record::ClaimEntry { program: "p".into(), entry }, &mut rng);
             }
         }
     }
-    received += open.iter().map(|(_, most)| most).sum::<u64>();
+    received += open.iter().map(|(_, max_tokens)| max_tokens).sum::<u64>();
     received as i64 - budget as i64
 }
 
@@ -282,11 +282,11 @@
                     stored.push(id);
                 }
             }
-            let ip = cluster.lose(&mut rng);
+            let ip = cluster.lose_machine(&mut rng);
             for id in &stored {
                 assert!(cluster.find(id).is_some(), "seed {seed}: {id} is lost with {ip}");
             }
-            cluster.away.remove(&ip);
+            cluster.unavailable.remove(&ip);
             cluster.repair(ip);
         }
     }
@@ -323,7 +323,7 @@
         let next = cluster.plan.current[rng.next_u32() as usize % 3].address();
         cluster.stores.insert(next, Store::default());
         cluster.empty.insert(next);
-        cluster.away.insert(next);
+        cluster.unavailable.insert(next);
         for id in &stored {
             assert!(cluster.find(id).is_some(), "seed {seed}: {id}");
         }
--- a/crates/onyxstile-system/tests/support/search.rs
+++ b/crates/onyxstile-system/tests/support/search.rs
@@ -35,27 +35,27 @@
     }
 }
 
-/// Searches until a rule is violated, all states within the limits were visited, or `most` states were visited
+/// Searches until a rule is violated, all states within the limits were visited, or `max_states` states were visited
 /// (`MODEL_STATES` overrides that number).
-pub fn search<M: Model>(start: M, fault: M::Fault, most: usize) -> SearchResult {
-    let most = super::variable("MODEL_STATES", most as u64) as usize;
-    let mut met = HashSet::from([start.digest()]);
+pub fn search<M: Model>(start: M, fault: M::Fault, max_states: usize) -> SearchResult {
+    let max_states = super::variable("MODEL_STATES", max_states as u64) as usize;
+    let mut visited = HashSet::from([start.digest()]);
     let mut level = vec![start];
     let mut depth = 0;
-    while !level.is_empty() && met.len() < most {
+    while !level.is_empty() && visited.len() < max_states {
         let mut next_level = Vec::new();
         for state in level {
             for action in state.actions() {
                 let next = state.after(action, fault);
                 if let Some(violation) = next.violation().cloned() {
                     return SearchResult {
-                        states: met.len(),
+                        states: visited.len(),
                         depth,
                         is_exhaustive: false,
                         violation: Some(violation),
                     };
                 }
-                if met.insert(next.digest()) {
+                if visited.insert(next.digest()) {
                     next_level.push(next);
                 }
             }
@@ -63,5 +63,5 @@
         level = next_level;
         depth += 1;
     }
-    SearchResult { states: met.len(), depth, is_exhaustive: level.is_empty(), violation: None }
+    SearchResult { states: visited.len(), depth, is_exhaustive: level.is_empty(), violation: None }
 }
