--- a/crates/onyxstile-system/src/control.rs
+++ b/crates/onyxstile-system/src/control.rs
@@ -1,4 +1,4 @@
-//! What the control plane keeps: views, the control state and the messages by which controllers agree on both.
+//! Data of the control plane: views, the control state, and the messages by which controllers agree on both.
 
 mod message;
 mod write;
@@ -14,12 +14,12 @@
 use crate::configuration::Revision;
 use crate::storage_plan::StoragePlan;
 
-/// A machine with one particular disk. A machine that comes back with another disk is another elector.
+/// A machine with one particular disk. A machine that returns with another disk is another elector.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
 pub struct ElectorId {
     /// The machine's address.
     pub ip: [u8; 4],
-    /// The id that its disk got when it was empty.
+    /// Id assigned to the disk when it was empty.
     pub disk: u64,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// The disk id that a seed takes at the first start of the whole system, alike on all machines.
+/// The disk id of a seed at the first start of the system; the same on every machine that computes it.
 pub fn bootstrap_disk(ip: Ipv4Addr) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(&ip.octets(), 1) | 1
 }
@@ -44,32 +44,32 @@
     pub body: Vec<u8>,
 }
 
-/// A change that was taken, kept so that the same change sent again is known.
+/// A change that was accepted, kept to recognise a repetition of the same change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct AcceptedChange {
-    /// The version that it was built on.
+    /// The revision that it was based on.
     pub base: Revision,
-    /// The digest of its bytes.
+    /// The digest of its body.
     pub digest: u128,
 }
 
-/// All that the chain replicates.
+/// The replicated control state.
 #[derive(Debug, Clone, PartialEq, Eq, Default, BorshSerialize, BorshDeserialize)]
 pub struct ControlState {
-    /// Rises by one with each write.
+    /// Increases by one with each write.
     pub sequence: u64,
-    /// Follows from all writes so far: states of one digest came about by the same writes.
+    /// Digest of all writes so far: states with the same digest were produced by the same writes.
     pub digest: u64,
     /// The newest configuration.
     pub configuration: Option<Rc<StoredConfiguration>>,
-    /// Changes that were taken, oldest first.
+    /// The accepted changes, oldest first.
     pub accepted: Rc<Vec<AcceptedChange>>,
-    /// Which storage machines hold what.
+    /// The assignment of data to storage machines.
     pub storage: Rc<StoragePlan>,
 }
 
 impl ControlState {
-    /// Bytes that it takes, about.
+    /// Approximate size in bytes.
     pub fn bytes(&self) -> u64 {
         let body = self.configuration.as_ref().map_or(0, |configuration| configuration.body.len());
         (body + self.accepted.len() * size_of::<AcceptedChange>()) as u64
@@ -81,21 +81,21 @@
     }
 }
 
-/// One agreed view: who votes, who stands in the chain, and the state that the view begins with.
+/// An agreed view: its electors, its chain, and its initial state.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct View {
-    /// Rises by one with each view.
+    /// Increases by one with each view.
     pub number: u64,
-    /// Who votes on the next view. Any majority of them meets every chain.
+    /// The electors of the next view. Any majority of them intersects every chain.
     pub electors: Vec<ElectorId>,
-    /// Head first, tail last; some of the electors.
+    /// Subset of the electors, from head to tail.
     pub chain: Vec<ElectorId>,
-    /// The state that the view begins with; all of it counts as committed.
+    /// The initial state of the view; all of it counts as committed.
     pub state: ControlState,
 }
 
 impl View {
-    /// Electors that a majority takes.
+    /// Number of electors that form a majority.
     pub fn majority(&self) -> usize {
         self.electors.len() / 2 + 1
     }
@@ -104,20 +104,20 @@
 /// Orders the proposals for one view number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, BorshSerialize, BorshDeserialize)]
 pub struct Ballot {
-    /// Counts attempts.
+    /// Attempt counter.
     pub round: u64,
-    /// Tells proposers of one round apart.
+    /// Distinguishes proposers of one round.
     pub proposer: [u8; 4],
 }
 
-/// What a controller has on its disk.
+/// The contents of a controller's disk.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Durable {
     /// The id of the disk.
     pub disk: u64,
-    /// The newest view that is known to be decided; none on a machine that no view has taken in.
+    /// The newest view known to be decided; `None` on a machine that has never belonged to a view.
     pub view: Option<Rc<View>>,
-    /// The newest state that was written in that view.
+    /// The newest state written in that view.
     pub state: ControlState,
     /// The highest ballot promised for the next view.
     pub promised: Ballot,
@@ -125,65 +125,66 @@
     pub accepted: Option<(Ballot, Rc<View>)>,
 }
 
-/// Tells the processes apart that run on one machine, one after the other: drawn at random from all 64-bit numbers at each
-/// start. Whatever is counted from the start of a process is told with it, for messages may outlast the process.
+/// Identifies one process among those that run on a machine one after the other: sampled at random from all 64-bit
+/// numbers at each start. Counters that restart with the process are sent together with it, because messages may arrive
+/// after the process has ended.
 pub type Incarnation = u64;
 
-/// Tells an operation apart: the controller that it came to, its life, and a number there.
+/// Identifies an operation: the controller that received it, the incarnation of that controller, and a number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
 pub struct Token {
     /// The controller that waits for the outcome.
     pub origin: [u8; 4],
-    /// The life of the process that waits.
+    /// The incarnation of the waiting process.
     pub incarnation: Incarnation,
-    /// Its number for the operation.
+    /// Number of the operation in that incarnation.
     pub number: u64,
 }
 
-/// What the operator or the system asks of the control state.
+/// An operation on the control state, requested by the operator or by the system.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Operation {
-    /// Replaces the configuration that is built on `base`.
+    /// Replaces the configuration that has revision `base`.
     PutConfiguration {
-        /// `If-Match`; none if the header was missing.
+        /// Value of `If-Match`; `None` if the header is missing.
         base: Option<Revision>,
-        /// The bytes as they came.
+        /// The body, unchanged.
         body: Rc<Vec<u8>>,
     },
     /// Reads the newest configuration.
     GetConfiguration,
-    /// Asks that a storage machine be emptied.
+    /// Requests that a storage machine be emptied and retired.
     Retire(String),
-    /// Asks how far that is.
+    /// Reads the progress of a retirement.
     GetRetire(String),
-    /// Replaces the storage plan, if the epoch before is still the current one.
+    /// Replaces the storage plan, if the preceding epoch is still the current one.
     Plan(Rc<StoragePlan>),
 }
 
 impl Operation {
-    /// Whether the tail answers it.
+    /// Whether the operation is a read, which the tail answers.
     pub fn is_read(&self) -> bool {
         matches!(self, Operation::GetConfiguration | Operation::GetRetire(_))
     }
 }
 
-/// How an operation ended.
+/// Outcome of an operation.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Outcome {
-    /// Done, or done before.
+    /// Completed now or earlier.
     Done,
-    /// The configuration; none before the first.
+    /// The configuration; `None` before the first.
     Configuration(Option<Rc<StoredConfiguration>>),
-    /// A storage machine's retirement: true once it is completed.
+    /// Whether the retirement of a storage machine is complete.
     Retirement(bool),
-    /// Another version is current.
+    /// The current revision is another one.
     Conflict(Revision),
-    /// The operation is invalid, for this reason.
+    /// The operation is invalid, for the given reason.
     Invalid(String),
-    /// There is no such machine.
+    /// No such machine exists.
     NotFound,
-    /// Too few machines would be left.
+    /// Too few machines would remain.
     TooFew,
-    /// Nothing is known of its fate; it may be sent again.
+    /// The outcome is unknown; the operation may be repeated.
     Unknown,
 }
--- a/crates/onyxstile-system/src/control/message.rs
+++ b/crates/onyxstile-system/src/control/message.rs
@@ -1,4 +1,4 @@
-//! What controllers say to each other.
+//! Messages between controllers.
 
 use std::rc::Rc;
 
@@ -6,17 +6,17 @@
 
 use super::{Ballot, ControlState, ElectorId, Incarnation, Operation, Outcome, Token, View, Write};
 
-/// A write on its way down the chain.
+/// A write as sent down the chain.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum ChainUpdate {
     /// The write itself.
     Write(Rc<Write>),
-    /// The state that it made, from a member that no longer knows the write: it was started since.
+    /// The resulting state, sent by a member that no longer holds the write because it has restarted.
     State(ControlState),
 }
 
 impl ChainUpdate {
-    /// The sequence of the state that it makes.
+    /// The sequence of the resulting state.
     pub fn sequence(&self) -> u64 {
         match self {
             ChainUpdate::Write(write) => write.sequence,
@@ -25,53 +25,53 @@
     }
 }
 
-/// What controllers say to each other. Every message may be lost, late, doubled or out of order.
+/// A message between controllers. Any message may be lost, delayed, duplicated or reordered.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Message {
-    /// How far the sender is; sent regularly.
+    /// Periodic progress report.
     Status {
         /// The sender's identity.
         from: ElectorId,
         /// Its installed view; 0 for none.
         view: u64,
-        /// What it knows to be committed.
+        /// The newest sequence that the sender knows to be committed.
         committed: u64,
-        /// The newest write of that view that is on its disk.
+        /// The newest sequence of that view on the sender's disk.
         written: u64,
     },
-    /// A decided view, for one that lacks it.
+    /// A decided view, sent to a machine that lacks it.
     Installed(Rc<View>),
-    /// Asks for a promise for view `view`.
+    /// Requests a promise for view number `view`.
     Prepare {
-        /// The number of the view that is to be decided.
+        /// Number of the view to be decided.
         view: u64,
         /// The proposal's ballot.
         ballot: Ballot,
-        /// The newest state that the proposer has written in the view before.
+        /// The newest sequence that the proposer has written in the preceding view.
         sequence: u64,
     },
-    /// A promise not to take part in lower ballots, nor to write in the view before.
+    /// A promise not to take part in lower ballots, nor to write in the preceding view.
     Promise {
-        /// Who promises.
+        /// The sender's identity.
         from: ElectorId,
-        /// The view that is to be decided.
+        /// Number of the view to be decided.
         view: u64,
         /// The ballot.
         ballot: Ballot,
-        /// What the sender has accepted for that view.
+        /// The value that the sender has accepted for that view.
         accepted: Option<(Ballot, Rc<View>)>,
-        /// The newest state that it has written, if it is newer than the proposer's; in one view states of one sequence
-        /// are the same.
+        /// The sender's newest written state, if newer than the proposer's; within one view, states of the same
+        /// sequence are equal.
         state: Option<ControlState>,
     },
     /// The ballot is too low.
     Refused {
-        /// The view that is to be decided.
+        /// Number of the view to be decided.
         view: u64,
-        /// The ballot that was promised.
+        /// The ballot that the sender has promised.
         promised: Ballot,
     },
-    /// Asks to accept a view.
+    /// Requests acceptance of a view.
     Accept {
         /// The proposal's ballot.
         ballot: Ballot,
@@ -80,59 +80,59 @@
     },
     /// The view was accepted and synced.
     Accepted {
-        /// Who accepted.
+        /// The sender's identity.
         from: ElectorId,
         /// The view's number.
         view: u64,
         /// The ballot.
         ballot: Ballot,
     },
-    /// A write, on its way down the chain.
+    /// A write travelling down the chain.
     Apply {
-        /// The view in which it is written.
+        /// The view in which it was written.
         view: u64,
-        /// What was written.
+        /// The write or the resulting state.
         written: ChainUpdate,
     },
-    /// A write that the tail has synced, on its way up the chain.
+    /// Acknowledgement of a write synced by the tail, travelling up the chain.
     Applied {
         /// The view.
         view: u64,
-        /// The write's sequence.
+        /// Sequence of the write.
         sequence: u64,
     },
     /// Asks whether a view is still the newest that the receiver takes part in.
     Confirm {
         /// The view.
         view: u64,
-        /// The life that asks.
+        /// Incarnation of the requester.
         incarnation: Incarnation,
-        /// Tells questions of a life apart.
+        /// Distinguishes requests of one incarnation.
         nonce: u64,
     },
-    /// It is.
+    /// Positive answer to `Confirm`.
     Confirmed {
-        /// Who says so.
+        /// The sender's identity.
         from: ElectorId,
         /// The view.
         view: u64,
-        /// The life that asked.
+        /// Incarnation of the requester.
         incarnation: Incarnation,
-        /// The question's number.
+        /// Nonce of the request.
         nonce: u64,
     },
-    /// An operation that came to another controller.
+    /// An operation submitted to another controller.
     Forward {
-        /// Its token.
+        /// Token of the operation.
         token: Token,
-        /// What is asked.
+        /// The operation.
         operation: Operation,
     },
     /// The outcome of a forwarded operation.
     Outcome {
-        /// Its token.
+        /// Token of the operation.
         token: Token,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
     },
 }
--- a/crates/onyxstile-system/src/control/write.rs
+++ b/crates/onyxstile-system/src/control/write.rs
@@ -1,4 +1,4 @@
-//! One write to the control state. Its size is that of what it changes, however much the state holds.
+//! Writes to the control state. The size of a write depends on what it changes, not on the size of the state.
 
 use std::rc::Rc;
 
@@ -9,41 +9,42 @@
 use crate::configuration::Revision;
 use crate::storage_plan::StoragePlan;
 
-/// Taken changes that are remembered; without a bound the state grows with every change of a deployment's life.
+/// Maximum number of accepted changes kept in the state; without a limit the state would grow with every change during
+/// the lifetime of a deployment.
 pub const ACCEPTED_CHANGES_MAX: usize = 8192;
 
-/// What a write changes.
+/// The content of a write.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Change {
-    /// A configuration that replaces the one before.
+    /// Replaces the configuration.
     Configuration {
-        /// The configuration.
+        /// The new configuration.
         configuration: Rc<StoredConfiguration>,
-        /// What it is known by if it is sent again.
+        /// Identifies the change if it is sent again.
         accepted: AcceptedChange,
     },
-    /// A storage plan that replaces the one before.
+    /// Replaces the storage plan.
     Storage(Rc<StoragePlan>),
 }
 
-/// One write, and the state that it follows.
+/// A write, bound to the state that it is based on.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Write {
-    /// The sequence of the state that it makes.
+    /// Sequence of the resulting state.
     pub sequence: u64,
-    /// The digest of the state that it is made to.
+    /// Digest of the state that it is based on.
     pub base_digest: u64,
-    /// What it changes.
+    /// The change.
     pub change: Change,
 }
 
 impl ControlState {
-    /// The write that makes `change` to this state.
+    /// Creates the write that applies `change` to this state.
     pub fn write(&self, change: Change) -> Write {
         Write { sequence: self.sequence + 1, base_digest: self.digest, change }
     }
 
-    /// Makes a write; false, and nothing is changed, if it follows another state than this.
+    /// Applies a write. Returns false and changes nothing if the write is based on another state.
     pub fn apply(&mut self, write: &Write) -> bool {
         if write.sequence != self.sequence + 1 || write.base_digest != self.digest {
             return false;
@@ -63,7 +64,7 @@
         true
     }
 
-    /// Whether a change built on `base` may have been taken so long ago that it is no longer remembered.
+    /// Whether a change based on `base` may have been accepted and already dropped from the history.
     pub fn predates_history(&self, base: Revision) -> bool {
         let oldest = self.accepted.first().filter(|_| self.accepted.len() >= ACCEPTED_CHANGES_MAX);
         oldest.is_some_and(|oldest| base < oldest.base)
--- a/crates/onyxstile-system/src/controller.rs
+++ b/crates/onyxstile-system/src/controller.rs
@@ -1,13 +1,14 @@
-//! One controller: an agreed view, and chain replication of the control state inside it.
+//! State machine of one controller: an agreed view, and chain replication of the control state inside it.
 //!
-//! Pure. [`Controller::step`] takes the moment and one input and returns effects, which are to be carried out in their
-//! order: what is persisted is synced before anything after it is sent.
+//! The state machine performs no I/O. [`Controller::step`] takes the current time and one input and returns effects,
+//! which must be executed in order: persisted data is synced before any later effect is sent.
 //!
-//! Guarantees to the operator: an outcome of `Done` for a write outlasts the loss of as many disks as are tolerated, and
-//! a read or a refusal reflects every write that was acknowledged before it was asked for. A write is held by every
-//! member of the chain before it is acknowledged; a chain has at least as many members as it takes to meet any majority
-//! of the electors, and a new view begins with the newest state among a majority's promises. The electorate does not
-//! shrink with the chain, so a machine that missed writes and one that holds them are enough to go on.
+//! Guarantees to the operator: a write with the outcome `Done` survives the loss of as many disks as the tolerance
+//! allows, and a read or a refusal reflects every write that was acknowledged before the request. Every member of the
+//! chain stores a write before it is acknowledged; a chain has at least as many members as are needed to intersect any
+//! majority of the electors, and a new view begins with the newest state among a majority's promises. The set of
+//! electors does not shrink with the chain, so one machine that missed writes and one that holds them are enough to
+//! continue.
 
 mod accessors;
 mod agreement;
@@ -35,9 +36,9 @@
 };
 use crate::tolerance::{Place, Tolerance};
 
-/// A write that its successor has not acknowledged goes again after this time.
+/// Interval after which an unacknowledged write is sent to the successor again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(150);
-/// An operation without an outcome is forgotten after this time.
+/// Timeout of an operation that has no outcome yet.
 const OPERATION_TIMEOUT: Duration = Duration::from_secs(4);
 
 #[derive(Debug, Clone)]
@@ -58,7 +59,7 @@
     expires: Instant,
 }
 
-/// The state machine of one controller. Clones go their own ways from there, which model checking needs.
+/// The state machine of one controller. Clones evolve independently, which model checking relies on.
 #[derive(Debug, Clone)]
 pub struct Controller {
     id: ElectorId,
@@ -71,19 +72,19 @@
     started: Instant,
     committed: u64,
     stable: ControlState,
-    /// How far the disks of others have come in the installed view, as they said in this life.
+    /// Newest sequence on the disk of each other elector in the installed view, as reported to this incarnation.
     written: BTreeMap<ElectorId, u64>,
     proposal: Option<agreement::Proposal>,
     round: u64,
     view_change_since: Option<Instant>,
     write: Option<PendingWrite>,
-    /// The write that made the newest state, if it was made in this life.
+    /// The write that produced the newest state, if this incarnation received it.
     last_write: Option<Rc<Write>>,
     queue: VecDeque<(Token, Operation, Instant)>,
     forwarded: HashMap<u64, Instant>,
     pending_confirmations: Vec<PendingConfirmation>,
     nonce: u64,
-    /// When a machine that lacks the view was sent it last.
+    /// When the view was last sent to each machine that lacks it.
     view_sent_at: HashMap<Ipv4Addr, Instant>,
     next_status: Instant,
     loopback: VecDeque<Message>,
@@ -91,7 +92,7 @@
 }
 
 impl Controller {
-    /// A controller with what its disk holds; `life` is drawn anew for each start.
+    /// Creates a controller from the contents of its disk; `incarnation` must be random and new at each start.
     pub fn new(
         ip: Ipv4Addr, durable: Durable, tolerance: Tolerance, incarnation: Incarnation, now: Instant,
     ) -> Controller {
@@ -124,19 +125,20 @@
         }
     }
 
-    /// The same controller on a machine that stands at `place`.
+    /// Sets the zone and region of this machine.
     pub fn with_location(mut self, location: Place) -> Controller {
         self.locations.insert(self.id.ip, location);
         self
     }
 
-    /// The same controller with the write that made the newest state on its disk, so that it need not pass the whole of it on.
+    /// Sets the write that produced the newest state on disk, so that only this write needs to be resent instead of the
+    /// full state. Ignored if it is not the newest write.
     pub fn with_last_write(mut self, write: Option<Rc<Write>>) -> Controller {
         self.last_write = write.filter(|write| write.sequence == self.durable.state.sequence);
         self
     }
 
-    /// Takes one input in.
+    /// Processes one input and returns the effects to execute, in order.
     pub fn step(&mut self, now: Instant, input: Input) -> Vec<Effect> {
         match input {
             Input::Message { from, message } => self.receive(now, from, message),
@@ -181,7 +183,7 @@
             Message::Confirmed { from: id, view, incarnation, nonce } if incarnation == self.incarnation => {
                 self.confirmed(id, view, nonce);
             }
-            // It answers a question of an earlier life.
+            // Answers a request of an earlier incarnation.
             Message::Confirmed { .. } => {}
             Message::Forward { token, operation } => self.route(now, token, operation),
             Message::Outcome { token, outcome } => self.finish(token, outcome),
@@ -192,7 +194,8 @@
         Token { origin: self.id.ip, incarnation: self.incarnation, number }
     }
 
-    /// Tells how an operation ended. What an earlier life waited for nobody waits for any more.
+    /// Delivers the outcome of an operation. Outcomes for an earlier incarnation are dropped, as no caller waits for
+    /// them.
     fn finish(&mut self, token: Token, outcome: Outcome) {
         if token.origin != self.id.ip {
             self.send(token.origin.into(), Message::Outcome { token, outcome });
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Notes that everything up to `sequence` is on the disks of the whole chain.
+    /// Records that all writes up to `sequence` are on the disks of the whole chain.
     fn commit(&mut self, sequence: u64) {
         self.committed = self.committed.max(sequence);
         if self.committed >= self.durable.state.sequence {
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Whether a promise for the next view keeps this controller from writing in its view.
+    /// Whether a promise for the next view prevents this controller from writing in the installed view.
     fn is_wedged(&self) -> bool {
         self.durable.promised != Default::default()
     }
--- a/crates/onyxstile-system/src/controller/accessors.rs
+++ b/crates/onyxstile-system/src/controller/accessors.rs
@@ -1,4 +1,4 @@
-//! How far a controller is, for whoever carries it and for those who ask.
+//! Read-only accessors for the state of a controller.
 
 use std::rc::Rc;
 
@@ -11,28 +11,28 @@
         self.durable.view.as_ref()
     }
 
-    /// What is to be on the disk.
+    /// The record that must be on the disk.
     pub fn durable(&self) -> &Durable {
         &self.durable
     }
 
-    /// The newest state that no later view can lack; `None` where no view has taken this machine in.
+    /// The newest state that every later view contains; `None` if this machine has never belonged to a view.
     pub fn committed_state(&self) -> Option<&ControlState> {
         self.durable.view.as_ref().map(|_| &self.stable)
     }
 
-    /// Whether no later view can lack anything that this controller has on its disk.
+    /// Whether every later view contains all writes on this controller's disk.
     pub fn is_stable(&self) -> bool {
         self.durable.view.is_some() && self.stable.sequence == self.durable.state.sequence
     }
 
-    /// Whether this controller is the head of a chain that still writes.
+    /// Whether this controller is the head of a chain that accepts writes.
     pub fn is_head(&self) -> bool {
         !self.is_wedged()
             && self.durable.view.as_ref().is_some_and(|view| view.chain.first() == Some(&self.id))
     }
 
-    /// Writes that wait here, and the one that is under way.
+    /// Number of queued writes, including the one in progress.
     pub fn waiting_writes(&self) -> usize {
         self.queue.len() + usize::from(self.write.is_some())
     }
@@ -42,7 +42,7 @@
         self.durable.view.as_ref().map_or(0, |view| view.number)
     }
 
-    /// Whether this machine votes in the installed view; one that doesn't is a standby.
+    /// Whether this machine votes in the installed view; a machine that does not is a standby.
     pub fn is_elector(&self) -> bool {
         self.durable.view.as_ref().is_some_and(|view| view.electors.contains(&self.id))
     }
--- a/crates/onyxstile-system/src/controller/agreement.rs
+++ b/crates/onyxstile-system/src/controller/agreement.rs
@@ -1,4 +1,4 @@
-//! Single-decree agreement on the next view: ballots, promises, acceptance, one number at a time.
+//! Single-decree agreement on the next view (ballots, promises, acceptance), one view number at a time.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -10,18 +10,18 @@
 use crate::control::{Ballot, ControlState, ElectorId, Message, View};
 use crate::tolerance::Tolerance;
 
-/// A proposal that has not been decided is tried again after this time.
+/// Timeout of an undecided proposal, after which a new one is made.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(400);
-/// Each elector waits this much longer than the one before it until it proposes.
+/// Additional delay per rank: each live elector waits this much longer than the one before it until it proposes.
 const STAGGER: Duration = Duration::from_millis(250);
-/// How long a view must be wished for before it is proposed.
+/// How long a view change must be needed before it is proposed.
 const PROPOSAL_DELAY: Duration = Duration::from_millis(40);
-/// How long a controller that starts gives electors to show themselves before it proposes a view without them: the time in
-/// which membership would hold a silent one dead.
+/// Grace period after a controller's start in which it does not propose a view without electors that it has not seen
+/// yet. Equals the time after which membership declares a silent machine dead.
 const RESTART_GRACE: Duration = Duration::from_millis(1000);
 
-/// What one elector promised with: what it has accepted, and the newest state that it has written if the proposer has none
-/// as new.
+/// The promise of one elector: the value that it has accepted, and its newest written state if that is newer than the
+/// proposer's.
 #[derive(Debug, Clone)]
 struct Promised {
     from: ElectorId,
@@ -40,7 +40,8 @@
 }
 
 impl Controller {
-    /// Proposes a view where one is needed: the first live elector at once, each later one after a pause.
+    /// Proposes a view if one is needed. The first live elector proposes at once, each later one after an additional
+    /// delay.
     pub(super) fn maintain_view(&mut self, now: Instant) {
         let Some(view) = self.durable.view.clone() else { return };
         let is_needed = self.is_wedged()
@@ -63,15 +64,15 @@
         }
     }
 
-    /// Whether this machine has just started and has not met all electors in this life. After a loss of power all return
-    /// within moments of one another; a view without those that are on their way would be followed by another that takes
-    /// them in. Meanwhile relays go on in the view that was (`settlement`).
+    /// Whether this machine has just started and has not seen all electors in this incarnation. After a power loss all
+    /// machines return at nearly the same time; a view without the late ones would be followed at once by another that
+    /// adds them. Meanwhile relays continue in the previous view (see `stability`).
     fn awaits_restarted_electors(&self, now: Instant, view: &View) -> bool {
         let is_met = |id: &ElectorId| self.locations.contains_key(&id.ip) || id.ip == self.id.ip;
         now.since(self.started) < RESTART_GRACE && !view.electors.iter().all(is_met)
     }
 
-    /// This machine and all that membership holds alive.
+    /// This machine and all machines that membership considers alive.
     fn alive(&self) -> Vec<ElectorId> {
         let mut alive = self.live.clone();
         alive.push(self.id);
@@ -193,13 +194,13 @@
         }
     }
 
-    /// Takes over a decided view that is newer than the installed one.
+    /// Installs a decided view that is newer than the installed one.
     pub(super) fn install(&mut self, now: Instant, view: Rc<View>) {
         if view.number <= self.installed() {
             return;
         }
         log::info!(
-            "view {} with {} electors, {} in the chain, sequence {}",
+            "installed view {} with {} electors, {} chain members, sequence {}",
             view.number,
             view.electors.len(),
             view.chain.len(),
@@ -233,8 +234,8 @@
     }
 }
 
-/// The view to propose: what was accepted under the highest ballot, or the desired one with the newest state of those who
-/// promised and of the proposer, which has told its own.
+/// Selects the view to propose: the value accepted under the highest ballot, or else the next membership with the
+/// newest state of the promising electors and of the proposer, which sent its own sequence with `Prepare`.
 fn choose_view(
     current: &View, proposal: &Proposal, own: &ControlState, alive: &[ElectorId], tolerance: Tolerance,
     locations: &Locations,
--- a/crates/onyxstile-system/src/controller/bootstrap.rs
+++ b/crates/onyxstile-system/src/controller/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The first record of a controller's disk.
+//! Initial contents of a controller's disk.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 use crate::control::{ControlState, Durable, ElectorId, View, bootstrap_disk};
 
 impl Controller {
-    /// The record of the first view, made of the seeds alone and alike on all of them.
+    /// The record of the first view. It depends only on the seeds, so all seeds create the same view.
     pub fn bootstrap(ip: Ipv4Addr, seeds: &[Ipv4Addr]) -> Durable {
         let mut electors: Vec<ElectorId> =
             seeds.iter().map(|seed| ElectorId { ip: seed.octets(), disk: bootstrap_disk(*seed) }).collect();
@@ -17,7 +17,7 @@
         Durable { view: Some(Rc::new(view)), ..Controller::empty(bootstrap_disk(ip)) }
     }
 
-    /// The record of a machine that no view has taken in.
+    /// The record of a machine that has never belonged to a view.
     pub fn empty(disk: u64) -> Durable {
         Durable {
             disk,
--- a/crates/onyxstile-system/src/controller/chain.rs
+++ b/crates/onyxstile-system/src/controller/chain.rs
@@ -1,4 +1,4 @@
-//! Chain replication inside a view: a write goes down the chain, its acknowledgement comes up from the tail.
+//! Chain replication inside a view: a write travels from head to tail, its acknowledgement from tail to head.
 
 use std::net::Ipv4Addr;
 
@@ -16,7 +16,7 @@
         view.chain.get(other).copied()
     }
 
-    /// Whether this controller stands in the chain of the installed view.
+    /// Whether this controller belongs to the chain of the installed view.
     pub(super) fn is_chain_member(&self) -> bool {
         self.durable.view.as_ref().is_some_and(|view| view.chain.contains(&self.id))
     }
@@ -25,7 +25,8 @@
         self.durable.view.as_ref().is_some_and(|view| view.chain.last() == Some(&self.id))
     }
 
-    /// A write from the predecessor. One that came before is passed on again, for what followed it may have been lost.
+    /// Handles a write from the predecessor. A repeated write is forwarded again, because the messages that followed
+    /// the first one may have been lost.
     pub(super) fn apply(&mut self, from: Ipv4Addr, view: u64, written: ChainUpdate) {
         let installed = self.installed();
         if view != installed {
@@ -40,7 +41,7 @@
         let is_duplicate = written.sequence() == self.durable.state.sequence;
         let is_next = written.sequence() == self.durable.state.sequence + 1;
         if is_next && !self.apply_update(written) {
-            log::error!("view {view}: a write that follows another state than this machine's");
+            log::error!("view {view}: received a write that is based on a different state");
             return;
         }
         if is_next || is_duplicate {
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Makes a write to the newest state and has it written to the disk; false if it follows another state.
+    /// Applies a write to the newest state and appends it to the disk; returns false if the write is based on another
+    /// state.
     pub(super) fn append(&mut self, write: Rc<Write>) -> bool {
         if !self.durable.state.apply(&write) {
             return false;
@@ -99,7 +101,7 @@
         self.complete_write(now);
     }
 
-    /// Sends a write again that nobody has acknowledged.
+    /// Resends an unacknowledged write.
     pub(super) fn resend(&mut self, now: Instant) {
         if self.is_wedged() {
             return;
--- a/crates/onyxstile-system/src/controller/events.rs
+++ b/crates/onyxstile-system/src/controller/events.rs
@@ -1,4 +1,4 @@
-//! What a controller takes in and wants done.
+//! Inputs and effects of a controller.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -6,55 +6,55 @@
 use crate::control::{Durable, ElectorId, Message, Operation, Outcome, Write};
 use crate::tolerance::Place;
 
-/// What a controller takes in.
+/// An input of a controller.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// A message of another controller.
+    /// A message from another controller.
     Message {
-        /// The machine that sent it.
+        /// Address of the sender.
         from: Ipv4Addr,
-        /// What it says.
+        /// The message.
         message: Message,
     },
-    /// An operation that was handed in here.
+    /// An operation submitted to this controller.
     Operation {
-        /// A number that the outcome will carry.
+        /// Number that the reply will carry.
         number: u64,
-        /// What is asked.
+        /// The operation.
         operation: Operation,
     },
-    /// Core machines that membership holds alive, this one left out, and where each stands.
+    /// Core machines that membership considers alive, without this one, with their zone and region.
     Live(Vec<(ElectorId, Place)>),
-    /// Names of storage machines that membership holds dead or does not know.
+    /// Names of storage machines that membership considers dead or does not know.
     DeadStorage(Vec<String>),
-    /// Time has passed.
+    /// Periodic timer.
     Tick,
 }
 
-/// What a controller wants done.
+/// An effect to be executed by the owner of the controller.
 #[derive(Debug, Clone)]
 pub enum Effect {
-    /// Write and sync this before any later effect.
+    /// Write and sync this record before any later effect.
     Persist(Rc<Durable>),
-    /// Write and sync a write that was made to the newest state in this view before any later effect.
+    /// Append and sync a write to the newest state of this view before any later effect.
     Append {
-        /// The view.
+        /// Number of the view.
         view: u64,
         /// The write.
         write: Rc<Write>,
     },
     /// Send a message.
     Send {
-        /// The machine that it goes to.
+        /// Address of the receiver.
         to: Ipv4Addr,
-        /// What it says.
+        /// The message.
         message: Message,
     },
-    /// An operation that was handed in here has ended.
+    /// An operation submitted to this controller has ended.
     Reply {
-        /// The number that it was handed in with.
+        /// Number given with the operation.
         number: u64,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
     },
 }
--- a/crates/onyxstile-system/src/controller/membership.rs
+++ b/crates/onyxstile-system/src/controller/membership.rs
@@ -1,17 +1,20 @@
-//! Which electors and which chain should follow, given who is alive and where each stands. Pure functions.
+//! Selection of the next electors and chain from the live machines and their locations. Pure functions.
 
 use std::collections::BTreeMap;
 
 use crate::control::{ElectorId, View};
 use crate::tolerance::{Place, Tolerance};
 
-/// Where each core machine stands that was ever heard of; one that wasn't counts as a zone and region of no name.
+/// Zone and region of every core machine seen so far; a machine without an entry counts as belonging to an unnamed zone
+/// and region.
 pub type Locations = BTreeMap<[u8; 4], Place>;
 
-/// The electors and the chain that a next view should have; `None` if this view is to stay or too few are alive.
+/// Returns the electors and the chain of the next view, or `None` if the view needs no change or too few machines are
+/// alive.
 ///
-/// A machine with another disk takes the place of what it was; a newcomer takes that of a dead machine; more electors
-/// than a group holds are kept only while all of them live and no zone or region that may be lost holds too many.
+/// A machine with a new disk replaces its former identity; a new machine replaces a dead one. More electors than the
+/// group size are kept only while all of them are alive and no zone or region whose loss must be tolerated holds too
+/// many of them.
 pub fn next_membership(
     view: &View, alive: &[ElectorId], tolerance: Tolerance, locations: &Locations,
 ) -> Option<(Vec<ElectorId>, Vec<ElectorId>)> {
@@ -45,8 +48,8 @@
     electors
 }
 
-/// The dead elector whose place a newcomer takes: one that stands where it does, for a successor mostly comes there, else
-/// any. Which of several dead ones is gone for good nobody can tell.
+/// Selects the dead elector that a new machine replaces: preferably one in the same zone, because a replacement usually
+/// starts there, otherwise any. Which of several dead electors is lost permanently cannot be determined.
 fn replaceable_elector(
     electors: &[ElectorId], alive: &[ElectorId], newcomer: &ElectorId, locations: &Locations,
 ) -> Option<usize> {
@@ -64,7 +67,8 @@
     tolerance.keeps_majority(&elector_locations)
 }
 
-/// The last elector of the zone with the most of them; where regions may be lost, of the region with the most first.
+/// Index of the last elector in the zone with the most electors; where the loss of regions must be tolerated, the
+/// region with the most electors comes first.
 fn index_in_largest_domain(electors: &[ElectorId], tolerance: Tolerance, locations: &Locations) -> usize {
     let unknown = Place::default();
     let location = |id: &ElectorId| locations.get(&id.ip).unwrap_or(&unknown);
@@ -87,8 +91,8 @@
     chain
 }
 
-/// The fewest members that a chain may have: enough copies for the losses that are tolerated, and enough to meet any
-/// majority of the electors.
+/// Minimum length of a chain: enough copies for the tolerated losses, and enough to intersect any majority of the
+/// electors.
 fn min_chain_length(electors: usize, tolerance: Tolerance) -> usize {
     let majority = electors / 2 + 1;
     (tolerance.losses() + 1).max(electors + 1 - majority)
--- a/crates/onyxstile-system/src/controller/operations.rs
+++ b/crates/onyxstile-system/src/controller/operations.rs
@@ -1,4 +1,4 @@
-//! Operations: where each is answered, what it does to the control state, and when its outcome may be told.
+//! Operations: which chain member answers each, how it changes the control state, and when its outcome may be sent.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -13,19 +13,19 @@
 use crate::storage_plan::RetireRefusal;
 use crate::tolerance::Tolerance;
 
-/// What an operation does to a state.
+/// Result of evaluating an operation against a state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Evaluation {
-    /// It makes this change.
+    /// The operation makes this change.
     Write(Change),
-    /// It was taken before, which no later event can change.
+    /// The operation was already applied, which no later event can change.
     AlreadyApplied,
-    /// It ends like this, if the state is still the newest.
+    /// The operation ends with this outcome, provided that the state is still the newest.
     Answer(Outcome),
 }
 
 impl Controller {
-    /// Takes an operation in: reads belong to the tail, writes to the head.
+    /// Routes an operation: the tail answers reads, the head performs writes.
     pub(super) fn route(&mut self, now: Instant, token: Token, operation: Operation) {
         let Some(view) = self.durable.view.clone() else {
             self.finish(token, Outcome::Unknown);
@@ -34,8 +34,8 @@
         let member = if operation.is_read() { view.chain.last() } else { view.chain.first() };
         let Some(member) = member.copied() else { return };
         if member != self.id {
-            // A forwarded one that finds no place here is answered by its origin's time-out.
-            // Nor can one here be passed on to what this machine was before it lost its disk.
+            // A forwarded operation that cannot be handled here is answered by the timeout at its origin. An operation
+            // cannot be forwarded to the former identity of this machine either, from before it lost its disk.
             if token.origin == self.id.ip && member.ip != self.id.ip {
                 self.send(member.address(), Message::Forward { token, operation });
             } else {
@@ -63,7 +63,7 @@
         evaluate(&self.durable.state, operation, self.tolerance, &self.dead_storage)
     }
 
-    /// Begins queued writes until one is under way.
+    /// Starts queued writes until one is in progress.
     pub(super) fn begin_writes(&mut self, now: Instant) {
         while self.write.is_none() && self.is_head() {
             if self.durable.state.sequence > self.committed {
@@ -88,7 +88,7 @@
         self.send_to_successor();
     }
 
-    /// A write that this head has on its disk from before a restart is settled before any other.
+    /// Commits a write that the head has on its disk from before a restart, ahead of any other write.
     fn adopt_uncommitted(&mut self, now: Instant) {
         let sequence = self.durable.state.sequence;
         let operation = Operation::GetConfiguration;
@@ -96,7 +96,7 @@
         self.send_to_successor();
     }
 
-    /// Ends the write under way if the tail has it, and begins the next.
+    /// Completes the write in progress if the tail has acknowledged it, and starts the next.
     pub(super) fn complete_write(&mut self, now: Instant) {
         let is_committed = self.write.as_ref().is_some_and(|write| write.sequence <= self.committed);
         if is_committed && let Some(write) = self.write.take() {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A new view: what was under way is looked at anew against the state that the view begins with.
+    /// Re-evaluates pending operations against the initial state of a new view.
     pub(super) fn restart_operations(&mut self, now: Instant) {
         self.pending_confirmations.clear();
         let mut waiting: Vec<(Token, Operation)> = Vec::new();
@@ -125,7 +125,8 @@
         self.begin_writes(now);
     }
 
-    /// Tells an outcome once a majority says that no newer view can have been decided when it was asked for.
+    /// Sends an outcome once a majority has confirmed that no newer view can have been decided when the operation was
+    /// submitted.
     fn reply_when_confirmed(&mut self, now: Instant, token: Token, outcome: Outcome) {
         let Some(view) = self.durable.view.clone() else { return };
         self.nonce += 1;
@@ -182,7 +183,8 @@
     }
 }
 
-/// What an operation does to `state`, in which all earlier writes are settled, while some storage machines are dead.
+/// Evaluates an operation against `state`, in which all earlier writes are committed; `dead_storage` names the dead
+/// storage machines.
 pub fn evaluate(
     state: &ControlState, operation: &Operation, tolerance: Tolerance, dead_storage: &[String],
 ) -> Evaluation {
@@ -208,7 +210,7 @@
         Ok(None) => Evaluation::AlreadyApplied,
         Err(RetireRefusal::Unknown) => Evaluation::Answer(Outcome::NotFound),
         Err(RetireRefusal::TooFew) => Evaluation::Answer(Outcome::TooFew),
-        // The dead ones may return, or their successors come; a change ends.
+        // Temporary: dead machines may return or be replaced, and a change in progress ends.
         Err(RetireRefusal::TooFewAlive | RetireRefusal::Changing) => Evaluation::Answer(Outcome::Unknown),
     }
 }
@@ -223,8 +225,8 @@
     }
     let current = state.revision();
     if base > current || state.predates_history(base) {
-        // The version that it is built on may be on its way, or it was itself taken and is no longer remembered: a refusal
-        // would be a guess.
+        // The base version may still be in transit, or may have been accepted and dropped from the history, so a
+        // refusal could be wrong.
         return Evaluation::Answer(Outcome::Unknown);
     }
     if base != current {
--- a/crates/onyxstile-system/src/controller/stability.rs
+++ b/crates/onyxstile-system/src/controller/stability.rs
@@ -1,19 +1,20 @@
-//! What can no longer be lost, known from what electors say of their disks.
+//! Determines which state can no longer be lost, from the reports of electors about their disks.
 //!
-//! After a loss of power the chain as a whole may take long to return; relays need not wait for it. A write of the installed
-//! view that is on the disks of a majority of its electors is in every later view: a machine writes nothing in its view once
-//! it has promised for the next, so whoever holds the write promises with it, a later view begins with the newest state
-//! among the promises of a majority, and any two majorities meet. In one view a sequence stands for one state. An elector
-//! that loses its disk is another elector, so its word stays with the disk that it was about.
+//! After a power loss the complete chain may take long to return, and relays need not wait for it. A write of the
+//! installed view that is on the disks of a majority of its electors is in every later view: a machine does not write
+//! in its view after it has promised for the next, so every holder of the write promises with it; a later view begins
+//! with the newest state among the promises of a majority; and any two majorities intersect. Within one view a sequence
+//! identifies one state. An elector that loses its disk becomes another elector, so its reports stay bound to the lost
+//! disk.
 //!
-//! This settles what relays and storage machines are told. What an operator is told still waits for the whole chain, for
-//! reads are answered by its tail alone.
+//! This determines what relays and storage machines receive. Operators still wait for the whole chain, because reads
+//! are answered by its tail alone.
 
 use super::Controller;
 use crate::control::{ElectorId, Message};
 
 impl Controller {
-    /// How far this controller is, for the others.
+    /// The status message of this controller.
     pub(super) fn status(&self) -> Message {
         Message::Status {
             from: self.id,
@@ -23,8 +24,8 @@
         }
     }
 
-    /// Takes in how far an elector's disk has come; one that is heard for the first time is answered at once, for it may
-    /// have started a moment ago.
+    /// Records the progress of an elector's disk. The first report of an elector is answered at once, because it may
+    /// have just started.
     pub(super) fn receive_written(&mut self, from: ElectorId, view: u64, written: u64) {
         let is_elector = self.durable.view.as_ref().is_some_and(|view| view.electors.contains(&from));
         if view != self.installed() || !is_elector || from == self.id {
@@ -40,7 +41,7 @@
         self.update_stable();
     }
 
-    /// Settles what is on the disks of a majority.
+    /// Marks the newest state stable if a majority has it on disk.
     fn update_stable(&mut self) {
         let Some(view) = &self.durable.view else { return };
         let newest = self.durable.state.sequence;
--- a/crates/onyxstile-system/src/controller/timers.rs
+++ b/crates/onyxstile-system/src/controller/timers.rs
@@ -1,4 +1,4 @@
-//! What a controller does as time passes: it says how far it is, forgets what is over, and sends again.
+//! Periodic work of a controller: status messages, expiry of operations, and resends.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -7,11 +7,11 @@
 use crate::clock::Instant;
 use crate::control::{ElectorId, Outcome};
 
-/// How often a controller says how far it is.
+/// Interval between status messages.
 const STATUS_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Controller {
-    /// Does what is due at `now`.
+    /// Performs all work that is due at `now`.
     pub(super) fn tick(&mut self, now: Instant) {
         if now >= self.next_status {
             self.next_status = now + STATUS_INTERVAL;
--- a/crates/onyxstile-system/src/controller/view_transfer.rs
+++ b/crates/onyxstile-system/src/controller/view_transfer.rs
@@ -1,4 +1,4 @@
-//! Machines that lack a view are sent it, and whoever lacks one asks.
+//! Transfer of installed views: sent to machines that lack them, and requested when this machine lacks one.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -7,12 +7,14 @@
 use crate::clock::Instant;
 use crate::control::Message;
 
-/// A machine that lacks the view is sent it again after this time, and a second more for each so many bytes of state.
+/// Minimum interval between two transfers of a view to one machine; extended by one second for each
+/// `VIEW_BYTES_PER_SECOND` bytes of state.
 const VIEW_RESEND_INTERVAL: Duration = Duration::from_millis(100);
 const VIEW_BYTES_PER_SECOND: u64 = 4 * 1024 * 1024;
 
 impl Controller {
-    /// Whether `view` is the one after the installed one; helps whoever is behind, and asks for help otherwise.
+    /// Whether `view` directly follows the installed one. Sends the installed view to a sender that is behind, and a
+    /// status message, which requests the missing view, to a sender that is ahead.
     pub(super) fn is_next(&mut self, now: Instant, from: Ipv4Addr, view: u64) -> bool {
         let installed = self.installed();
         if view <= installed {
@@ -24,7 +26,7 @@
         installed > 0 && view == installed + 1
     }
 
-    /// Sends the installed view to one that lacks it, not more often than it can be taken in.
+    /// Sends the installed view to a machine that lacks it, no more often than the machine can receive it.
     pub(super) fn send_view(&mut self, now: Instant, to: Ipv4Addr) {
         let Some(view) = self.durable.view.clone() else { return };
         let pause =
--- a/crates/onyxstile-system/src/registry.rs
+++ b/crates/onyxstile-system/src/registry.rs
@@ -1,13 +1,13 @@
-//! Endpoints as they register: one record an incarnation, merged by sequence, handed out by counters.
+//! Registry of endpoints: one record per incarnation, merged by sequence, published by change counters.
 //!
-//! An endpoint's heartbeats come to one controller at a time, but every controller holds every endpoint: so any majority of
-//! them knows all, and after a loss of power each has all on its disk. Only the controller that hears an endpoint calls it
-//! silent; one that nobody is known to hear (after a restart, or once whoever heard it has restarted) is called silent by
-//! all in the same time. Such a record keeps the sequence of what was heard before, so a later heartbeat, wherever it comes,
-//! supersedes it.
+//! An endpoint sends its heartbeats to one controller at a time, but every controller stores every endpoint: any
+//! majority of them has all records, and after a power loss each has them on its disk. Only the controller that
+//! receives an endpoint's heartbeats (its owner) marks it silent; an endpoint without a known owner (after a restart,
+//! or once its owner has restarted) is marked silent by all controllers after the same timeout. Such a record keeps the
+//! sequence of the last heartbeat, so a later heartbeat at any controller supersedes it.
 //!
-//! Entries are soft, for endpoints repeat themselves. What isn't soft is a drain: an incarnation that has said that it
-//! leaves never comes back, whatever arrives later. Pure.
+//! Records are soft state, because endpoints repeat their heartbeats. A drain is not: an incarnation that has announced
+//! its departure never returns, whatever arrives later. No I/O is performed here.
 
 mod drain_sync;
 mod entry;
@@ -22,28 +22,29 @@
 use crate::clock::Instant;
 use entry::{Entry, Source};
 
-/// Agents and proxies forget an incarnation that is away after this time: later than controllers do, so that none of these
-/// tells of it as of a new one.
+/// Agents and proxies drop the record of an unavailable incarnation after this time. It is longer than the controllers'
+/// lifetime of such records, so that no controller can report the incarnation as new afterwards.
 pub const RELAY_TOMBSTONE_LIFETIME: Duration = Duration::from_secs(900);
-/// Heartbeats that may be missed until an endpoint counts as silent.
+/// Missed heartbeats after which an endpoint counts as silent.
 const MISSED_HEARTBEATS: u32 = 4;
 
-/// Lives of other controllers that are remembered as over; each is looked up where another controller still names it.
+/// Maximum number of ended incarnations of other controllers that are remembered; each is looked up when another
+/// controller still reports it as an owner.
 const ENDED_ORIGINS_MAX: usize = 64;
 
-/// The endpoints that one controller knows.
+/// The endpoints known to one controller.
 pub struct Registry {
     origin: u64,
     counter: u64,
     changes: u64,
     entries: HashMap<String, Entry>,
-    /// Lives of other controllers that are over, the newest last.
+    /// Ended incarnations of other controllers, newest last.
     ended_origins: VecDeque<u64>,
     silence_timeout: Duration,
 }
 
 impl Registry {
-    /// An empty registry; `origin` tells this life of the controller apart from others.
+    /// Creates an empty registry; `origin` identifies the incarnation of this controller.
     pub fn new(origin: u64, heartbeat: Duration) -> Registry {
         let silence_timeout = heartbeat * MISSED_HEARTBEATS;
         Registry {
@@ -56,27 +57,28 @@
         }
     }
 
-    /// Which life of which controller the counters belong to.
+    /// The controller incarnation that the counters belong to.
     pub fn origin(&self) -> u64 {
         self.origin
     }
 
-    /// The newest change that is told on.
+    /// Counter of the newest published change.
     pub fn counter(&self) -> u64 {
         self.counter
     }
 
-    /// How many changes there were: those of [`Registry::counter`], and what other controllers tell on by themselves.
+    /// Number of all changes: those counted by [`Registry::counter`], and those that other controllers publish
+    /// themselves.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Takes a heartbeat in that came here; true if others wait to learn of it.
+    /// Merges a heartbeat received by this controller; returns true if waiting subscribers must be notified.
     pub fn merge(&mut self, now: Instant, instance: Instance) -> bool {
         self.merge_from(now, instance, Source::Local)
     }
 
-    /// Takes in what another controller tells; true if others wait to learn of it here.
+    /// Merges an update from another controller; returns true if waiting subscribers of this one must be notified.
     pub fn merge_update(&mut self, now: Instant, update: RecordUpdate) -> bool {
         let source = match update.owner {
             Some(origin) if !self.ended_origins.contains(&origin) => Source::Remote(origin),
@@ -103,7 +105,7 @@
         let is_significant = is_significant_change(&merged, current);
         if is_significant || source != entry.source {
             let counter = entry.counter;
-            // Who hears it is told on with the next news, or the next time that somebody asks: nobody waits for that.
+            // A change of owner alone wakes no subscriber; it is published with the next change or request.
             return self.store(Entry { instance: merged, counter, updated_at: now, source })
                 && is_significant;
         }
@@ -114,7 +116,7 @@
         false
     }
 
-    /// Holds a changed record; true if it is told on from here.
+    /// Stores a changed record; returns true if this controller publishes it.
     fn store(&mut self, mut entry: Entry) -> bool {
         self.changes += 1;
         let is_published = !entry.is_published_elsewhere();
@@ -126,7 +128,7 @@
         is_published
     }
 
-    /// A life of another controller is over: nobody is known to hear what it heard.
+    /// Records that an incarnation of another controller has ended: the endpoints that it owned have no known owner.
     pub fn forget_origin(&mut self, now: Instant, origin: u64) {
         if self.ended_origins.len() == ENDED_ORIGINS_MAX {
             self.ended_origins.pop_front();
@@ -138,7 +140,7 @@
         }
     }
 
-    /// An incarnation has left; one that was never heard of gets a record all the same.
+    /// Marks an incarnation as gone. An unknown incarnation gets a record as well.
     pub fn remove(&mut self, now: Instant, id: &str) -> Instance {
         let existing = self.entries.get(id).map(|entry| entry.instance.clone());
         let gone = existing.unwrap_or_else(|| Instance {
@@ -157,7 +159,7 @@
         gone
     }
 
-    /// Marks endpoints that have missed heartbeats and forgets what left long ago; true if anything changed.
+    /// Marks endpoints that have missed heartbeats and drops expired records; returns true if anything changed.
     pub fn tick(&mut self, now: Instant) -> bool {
         let before = self.counter;
         let (mut counter, silence_timeout) = (self.counter, self.silence_timeout);
@@ -176,13 +178,13 @@
         self.counter != before
     }
 
-    /// Records that changed after `counter`, but for those that whoever hears the endpoint tells itself; all records if the
-    /// counter is another origin's.
+    /// Records that changed after `counter`, except those that the owner of the endpoint publishes itself; all records
+    /// if the counter belongs to another origin.
     pub fn since(&self, origin: u64, counter: u64) -> Vec<Instance> {
         self.changed(origin, counter).into_iter().map(|entry| entry.instance.clone()).collect()
     }
 
-    /// The same for another controller.
+    /// The same records as updates for another controller.
     pub fn updates_since(&self, origin: u64, counter: u64) -> Vec<RecordUpdate> {
         let update = |entry: &Entry| RecordUpdate {
             instance: entry.instance.clone(),
@@ -204,20 +206,20 @@
         changed
     }
 
-    /// All records, to be kept on disk.
+    /// All records, for persistence.
     pub fn records(&self) -> Vec<Instance> {
         self.entries.values().map(|entry| entry.instance.clone()).collect()
     }
 
-    /// Takes in what was kept before a restart, as if it had just been heard: endpoints are there again before their next
-    /// heartbeats, and one that ended meanwhile becomes silent in its time.
+    /// Restores persisted records as if they had just been received: endpoints are available before their next
+    /// heartbeats, and one that ended in the meantime becomes silent after the usual timeout.
     pub fn restore(&mut self, now: Instant, records: Vec<Instance>) {
         for record in records {
             self.merge_from(now, record, Source::Unowned);
         }
     }
 
-    /// How many incarnations are how far.
+    /// Number of incarnations by stage.
     pub fn counts(&self) -> [(&'static str, usize); 4] {
         let count = |is_wanted: fn(&Instance) -> bool| {
             self.entries.values().filter(|entry| is_wanted(&entry.instance)).count()
@@ -230,7 +232,7 @@
         ]
     }
 
-    /// How many incarnations are ready and heard of.
+    /// Number of incarnations that are ready and not silent.
     pub fn ready(&self) -> usize {
         self.entries
             .values()
@@ -239,7 +241,7 @@
     }
 }
 
-/// Whether a relay has to know of the difference; a mere heartbeat is none.
+/// Whether relays need to receive the difference; a plain heartbeat makes none.
 fn is_significant_change(new: &Instance, old: &Instance) -> bool {
     let strip = |instance: &Instance| Instance { sequence: 0, warmup_left_ms: 0, ..instance.clone() };
     strip(new) != strip(old)
--- a/crates/onyxstile-system/src/registry/entry.rs
+++ b/crates/onyxstile-system/src/registry/entry.rs
@@ -1,39 +1,39 @@
-//! What a controller holds of one endpoint, and whose word that is.
+//! A controller's record of one endpoint, and the source of that record.
 
 use std::time::Duration;
 
 use super::{Instance, Stage};
 use crate::clock::Instant;
 
-/// A record of an incarnation that is gone is kept this long, so that a late heartbeat doesn't bring it back.
+/// How long the record of an unavailable incarnation is kept, so that a late heartbeat does not revive it.
 const TOMBSTONE_LIFETIME: Duration = Duration::from_secs(600);
 
-/// Whose word a record is.
+/// Source of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Source {
-    /// Its heartbeats come here.
+    /// The endpoint sends its heartbeats to this controller.
     Local,
-    /// They come to another controller, in this life of it.
+    /// The endpoint sends its heartbeats to this incarnation of another controller.
     Remote(u64),
-    /// Nobody is known to hear it: it was on the disk, or whoever heard it has gone.
+    /// No owner is known: the record was read from disk, or its owner has ended.
     Unowned,
 }
 
 impl Source {
-    /// Whether a record of this source replaces one of the same sequence from `held`.
+    /// Whether a record of this source replaces one of the same sequence from `current`.
     pub(super) fn overrides(self, current: Source) -> bool {
         match self {
             Source::Local => true,
-            // What the same hearer says later, or the first word of one that hears it.
+            // A later update of the same owner, or the first update of a known owner.
             Source::Remote(_) => current == self || current == Source::Unowned,
             Source::Unowned => false,
         }
     }
 
-    /// Whose word an entry is once a record of this source has come to it.
+    /// The source of an entry after a record of this source has been merged into it.
     pub(super) fn merged(self, current: Source, is_newer: bool) -> Source {
         match (self, current) {
-            // Somebody heard it later than this controller, and nobody hears it now.
+            // The heartbeat was received elsewhere after this controller's last one, and no owner is known now.
             (Source::Unowned, Source::Local) if is_newer => Source::Unowned,
             (Source::Unowned, _) => current,
             _ if is_newer || self.overrides(current) => self,
@@ -42,18 +42,18 @@
     }
 }
 
-/// One endpoint in a registry.
+/// An endpoint in a registry.
 pub(super) struct Entry {
     pub instance: Instance,
-    /// The change of the registry that made it what it is, if it is told on from here.
+    /// Registry counter of its last change, if this controller publishes it.
     pub counter: u64,
-    /// When it was heard or told of last.
+    /// When it was last received or reported.
     pub updated_at: Instant,
     pub source: Source,
 }
 
 impl Entry {
-    /// Whether its hearer tells of it by itself to all who ask.
+    /// Whether its owner publishes it itself.
     pub(super) fn is_published_elsewhere(&self) -> bool {
         matches!(self.source, Source::Remote(_)) && self.instance.stage == Stage::Ready
     }
--- a/crates/onyxstile-system/src/registry/instance.rs
+++ b/crates/onyxstile-system/src/registry/instance.rs
@@ -1,4 +1,4 @@
-//! One incarnation of an endpoint as it registered.
+//! One incarnation of an endpoint, as registered.
 
 use std::net::SocketAddrV4;
 
@@ -7,12 +7,12 @@
 
 use crate::json::{JsonError, Object, parse};
 
-/// How far an endpoint's incarnation is; it only moves on.
+/// Lifecycle stage of an endpoint's incarnation; it only moves forward.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub enum Stage {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Is about to leave and takes nothing new.
+    /// About to leave; accepts no new requests.
     Draining,
     /// Has left.
     Gone,
@@ -21,38 +21,38 @@
 /// One incarnation of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Instance {
-    /// Its id, new with each start.
+    /// Its id, new at each start.
     pub id: String,
     /// The service that it belongs to.
     pub service: String,
-    /// Where it listens: address and port.
+    /// Listen address and port.
     pub address: ([u8; 4], u16),
     /// Its zone.
     pub zone: String,
-    /// Requests that it works on at a time.
+    /// Number of requests that it can process concurrently.
     pub capacity: u32,
-    /// How far it is.
+    /// Its lifecycle stage.
     pub stage: Stage,
-    /// How much longer it is slow from its start, in ms.
+    /// Remaining warm-up time in ms.
     pub warmup_left_ms: u64,
-    /// Rises with each call.
+    /// Increases with each registration call.
     pub sequence: u64,
     /// Whether it has missed heartbeats.
     pub is_silent: bool,
 }
 
 impl Instance {
-    /// Whether it has left, is about to, or has fallen silent.
+    /// Whether it has left, is draining, or is silent.
     pub fn is_unavailable(&self) -> bool {
         self.stage != Stage::Ready || self.is_silent
     }
 
-    /// Where it listens.
+    /// Its listen address.
     pub fn socket(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.address.0.into(), self.address.1)
     }
 
-    /// Reads the body of a registration.
+    /// Parses the body of a registration; fails if a field is missing or has the wrong type.
     pub fn from_json(id: &str, body: &[u8]) -> Result<Instance, JsonError> {
         let not_text = |_| JsonError::Syntax(0, 0, "the body is not UTF-8".into());
         let value: JsonValue = parse(std::str::from_utf8(body).map_err(not_text)?)?;
@@ -75,11 +75,11 @@
     }
 }
 
-/// A record as one controller tells another of it.
+/// A registry record as sent from one controller to another.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RecordUpdate {
     /// The record.
     pub instance: Instance,
-    /// The life of the controller that the endpoint's heartbeats come to; none if nobody is known to hear it.
+    /// The incarnation of the controller that receives the endpoint's heartbeats; `None` if no owner is known.
     pub owner: Option<u64>,
 }
--- a/crates/onyxstile-system/src/swim.rs
+++ b/crates/onyxstile-system/src/swim.rs
@@ -1,8 +1,9 @@
-//! Membership by SWIM: direct probes, indirect probes, suspicion and refutation, spread on the probes themselves.
+//! SWIM membership: direct probes, indirect probes, suspicion and refutation, with records piggybacked on the probes.
 //!
-//! Pure: datagrams, the clock and a seed in; datagrams and changes out. Work a machine a second is constant, whatever
-//! the number of members. Guarantees: a member that answers is never held dead for longer than one refutation takes;
-//! one that is silent is held dead after [`Timing::probe`] plus [`Timing::suspicion`], counted from its first probe.
+//! No I/O is performed here: inputs are datagrams, the clock and a seed; outputs are datagrams and membership changes.
+//! The load per machine and second is constant, whatever the number of members. Guarantees: a member that answers is
+//! never considered dead for longer than one refutation takes; a silent member is considered dead after
+//! [`Timing::probe`] plus [`Timing::suspicion`], counted from its first probe.
 
 mod datagram;
 mod gossip;
@@ -23,19 +24,19 @@
 use probing::Probe;
 use table::Table;
 
-/// Most member records in one datagram, so that it stays under a common path MTU.
+/// Maximum number of member records in one datagram, so that it stays below the usual path MTU.
 const RECORDS_PER_DATAGRAM: usize = 8;
-/// A dead member is forgotten after this time.
+/// Time after which a dead member is dropped.
 const DEAD_RETENTION: Duration = Duration::from_secs(120);
 
-/// Periods of the protocol.
+/// Timing of the protocol.
 #[derive(Debug, Clone)]
 pub struct Timing {
-    /// Time between two probes, and how long one may take with its indirect part.
+    /// Interval between probes, and timeout of one probe including its indirect part.
     pub probe: Duration,
-    /// Time for a direct answer before others are asked.
+    /// Time to wait for a direct answer before indirect probes are requested.
     pub direct: Duration,
-    /// Time that a suspected member has to refute.
+    /// Time that a suspected member has to refute the suspicion.
     pub suspicion: Duration,
 }
 
@@ -49,7 +50,7 @@
     }
 }
 
-/// One machine's part in the membership.
+/// Membership state of one machine.
 pub struct Swim {
     own: Member,
     table: Table,
@@ -67,7 +68,7 @@
 }
 
 impl Swim {
-    /// A machine that knows nobody but the seeds.
+    /// Creates the state of a machine that knows only the seeds.
     pub fn new(own: Member, seeds: Vec<Ipv4Addr>, timing: Timing, seed: u64, now: Instant) -> Swim {
         Swim {
             own,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Members as they are known, this machine left out.
+    /// All known members without this machine.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.table.members()
     }
@@ -96,17 +97,17 @@
         &self.own
     }
 
-    /// Replaces the seeds, after the settings have changed.
+    /// Replaces the seeds after a settings change.
     pub fn set_seeds(&mut self, seeds: Vec<Ipv4Addr>) {
         self.seeds = seeds;
     }
 
-    /// How long a member has been held dead; `None` if it isn't.
+    /// How long a member has been considered dead; `None` if it is not.
     pub fn dead_for(&self, address: Ipv4Addr, now: Instant) -> Option<Duration> {
         self.table.dead_since(address).map(|since| now.since(since))
     }
 
-    /// Does what is due at `now`; to be called at least every few tens of ms.
+    /// Performs all work that is due at `now`; must be called at least every few tens of ms.
     pub fn tick(&mut self, now: Instant) -> Vec<Outgoing> {
         let mut out = Vec::new();
         self.expire(now);
@@ -122,7 +123,7 @@
         out
     }
 
-    /// Takes in one datagram.
+    /// Processes a datagram and returns the answers to send.
     pub fn receive(&mut self, now: Instant, datagram: Datagram) -> Vec<Outgoing> {
         let sender = datagram.from.address();
         if sender == self.own.address() {
@@ -149,7 +150,8 @@
             Kind::Join => self.send_table(sender, &mut out),
             Kind::Records => {}
         }
-        // One that started again behind an earlier incarnation of its own has to pass it before it is believed.
+        // A machine that restarted with a lower incarnation receives the current record, so that it can exceed that
+        // incarnation and be accepted again.
         if let Some(current) = outdated {
             out.iter_mut().filter(|outgoing| outgoing.to == sender).for_each(|outgoing| {
                 outgoing.datagram.records.push(current.clone());
@@ -174,7 +176,7 @@
 
     fn expire(&mut self, now: Instant) {
         for record in self.table.expired_suspects(now, self.timing.suspicion) {
-            log::info!("member {} at {} held dead", record.name, record.address());
+            log::info!("member {} at {} declared dead", record.name, record.address());
             self.merge_record(now, Member { state: MemberState::Dead, ..record });
         }
         self.table.remove_dead(now, DEAD_RETENTION);
@@ -221,7 +223,7 @@
 
     fn send(&mut self, to: Ipv4Addr, kind: Kind, out: &mut Vec<Outgoing>) {
         let mut records = self.gossip.take(RECORDS_PER_DATAGRAM - 1, self.table.len());
-        // Whoever is doubted hears of it, so that it can refute.
+        // A suspected or dead receiver gets its own record, so that it can refute it.
         if let Some(record) = self.table.get(to).filter(|record| record.state != MemberState::Alive) {
             records.push(record.clone());
         }
--- a/crates/onyxstile-system/src/swim/datagram.rs
+++ b/crates/onyxstile-system/src/swim/datagram.rs
@@ -1,4 +1,4 @@
-//! What machines of the membership send each other.
+//! Datagrams of the membership protocol.
 
 use std::net::Ipv4Addr;
 
@@ -6,47 +6,47 @@
 
 use super::table::Member;
 
-/// What one datagram asks or answers.
+/// The request or answer in a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Kind {
-    /// Asks for an [`Kind::Ack`] with the same number.
+    /// Requests an [`Kind::Ack`] with the same number.
     Ping(u64),
     /// Answers a ping; `on_behalf_of` is the machine that was probed.
     Ack {
-        /// The ping's number.
+        /// Number of the ping.
         number: u64,
         /// The machine that answered.
         on_behalf_of: [u8; 4],
     },
-    /// Asks the receiver to ping `target` and to pass its ack on.
+    /// Asks the receiver to ping `target` and to forward its ack.
     PingRequest {
-        /// The number that the ack is to carry.
+        /// Number that the ack must carry.
         number: u64,
         /// The machine to ping.
         target: [u8; 4],
     },
-    /// Asks for the whole table, in as many datagrams as it takes.
+    /// Requests the full member table, in as many datagrams as needed.
     Join,
-    /// Part of the table, for one that joins.
+    /// Part of the member table, sent to a joining machine.
     Records,
 }
 
-/// One datagram.
+/// A datagram of the membership protocol.
 #[derive(Debug, Clone, BorshSerialize, BorshDeserialize)]
 pub struct Datagram {
-    /// Who sends it.
+    /// Record of the sender.
     pub from: Member,
-    /// What it is for.
+    /// The request or answer.
     pub kind: Kind,
-    /// Records that spread on it.
+    /// Piggybacked member records.
     pub records: Vec<Member>,
 }
 
-/// A datagram to be sent.
+/// A datagram to send.
 #[derive(Debug, Clone)]
 pub struct Outgoing {
-    /// The machine that it goes to.
+    /// Address of the receiver.
     pub to: Ipv4Addr,
-    /// What it carries.
+    /// The datagram.
     pub datagram: Datagram,
 }
--- a/crates/onyxstile-system/src/swim/gossip.rs
+++ b/crates/onyxstile-system/src/swim/gossip.rs
@@ -1,10 +1,10 @@
-//! Records that are to be spread, each on a number of datagrams that grows with the logarithm of the membership.
+//! Queue of records to disseminate; the number of sends per record grows with the logarithm of the membership.
 
 use std::collections::BTreeMap;
 
 use super::table::Member;
 
-/// Copies of a record that a machine sends for each doubling of the membership.
+/// Number of times a machine sends a record for each doubling of the membership.
 const SENDS_PER_DOUBLING: u32 = 3;
 
 #[derive(Default)]
@@ -13,12 +13,12 @@
 }
 
 impl GossipQueue {
-    /// Adds a record, in the place of an older one about the same machine.
+    /// Adds a record, replacing an older one of the same machine.
     pub(super) fn add(&mut self, record: Member) {
         self.records.insert(record.ip, (record, 0));
     }
 
-    /// At most `most` records that have been sent least.
+    /// Returns at most `max_records` of the records that have been sent the fewest times.
     pub(super) fn take(&mut self, max_records: usize, members: usize) -> Vec<Member> {
         let max_sends = SENDS_PER_DOUBLING * (usize::BITS - (members + 1).leading_zeros());
         let mut probe_order: Vec<(u32, [u8; 4])> =
--- a/crates/onyxstile-system/src/swim/probing.rs
+++ b/crates/onyxstile-system/src/swim/probing.rs
@@ -1,4 +1,4 @@
-//! Probes: which member is asked next, what follows when it is silent, and how the suspected hear of it.
+//! Probes: selection of the target, indirect probes and suspicion after a timeout, and notification of suspects.
 
 use std::net::Ipv4Addr;
 
@@ -8,11 +8,11 @@
 use super::{Kind, Outgoing, Swim};
 use crate::clock::Instant;
 
-/// Machines asked to probe on one's behalf when a direct probe is not answered.
+/// Number of machines asked to probe a target that did not answer a direct probe.
 const INDIRECT_PROBES: usize = 2;
-/// Suspected members that are warned in one period.
+/// Maximum number of suspected members pinged in one period.
 const SUSPECTS_PINGED: usize = 3;
-/// One probe in this many goes to a member held dead, so that the two sides of a healed cut find each other.
+/// One probe in this many goes to a dead member, so that the two sides of a healed partition rediscover each other.
 const DEAD_PROBE_EVERY: u64 = 4;
 
 pub(super) struct Probe {
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Lets the suspected know, so that they can refute although datagrams are lost; whoever heard of the suspicion does.
+    /// Pings suspected members so that they can refute the suspicion despite lost datagrams; every machine that knows
+    /// of the suspicion does this.
     pub(super) fn ping_suspects(&mut self, out: &mut Vec<Outgoing>) {
         let mut suspects: Vec<Ipv4Addr> = self.table.suspects().map(Member::address).collect();
         self.shuffle(&mut suspects);
--- a/crates/onyxstile-system/src/swim/table.rs
+++ b/crates/onyxstile-system/src/swim/table.rs
@@ -1,4 +1,4 @@
-//! What one machine holds of the others: a record each, merged by incarnation and standing.
+//! Member table of one machine: one record per member, merged by incarnation and state.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -8,44 +8,44 @@
 
 use crate::clock::Instant;
 
-/// What a machine is for.
+/// Role of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
 pub enum Class {
     /// Carries traffic.
     Edge,
-    /// Keeps the control state.
+    /// Stores the control state.
     Core,
-    /// Keeps turns and budgets.
+    /// Stores turns and budgets.
     Storage,
 }
 
-/// How a member stands; the order is the order of precedence within one incarnation.
+/// State of a member; the order is the precedence within one incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
 pub enum MemberState {
-    /// Answers.
+    /// Answers probes.
     Alive,
-    /// Did not answer a probe and has not refuted yet.
+    /// Did not answer a probe and has not refuted the suspicion yet.
     Suspect,
-    /// Did not refute in time.
+    /// Did not refute the suspicion in time.
     Dead,
 }
 
-/// One member's record.
+/// Record of one member.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Member {
-    /// The machine's address, which tells members apart.
+    /// The machine's address, which identifies the member.
     pub ip: [u8; 4],
     /// The machine's name.
     pub name: String,
-    /// What it is for.
+    /// Its role.
     pub class: Class,
     /// Its zone.
     pub zone: String,
-    /// The id of its disk; 0 where it has none.
+    /// The id of its disk; 0 if it has none.
     pub disk: u64,
-    /// Rises with each start and each refutation.
+    /// Increases with each start and each refutation.
     pub incarnation: u64,
-    /// How it stands.
+    /// Its state.
     pub state: MemberState,
 }
 
@@ -61,14 +61,14 @@
     since: Instant,
 }
 
-/// All records but the machine's own.
+/// Records of all members except the machine's own.
 #[derive(Default)]
 pub(super) struct Table {
     entries: BTreeMap<Ipv4Addr, Entry>,
 }
 
 impl Table {
-    /// Takes a record in; true if it said something new.
+    /// Merges a record; returns true if it changed the table.
     pub(super) fn merge(&mut self, now: Instant, record: Member) -> bool {
         let address = record.address();
         let Some(entry) = self.entries.get_mut(&address) else {
