--- a/crates/onyxstile-system/tests/control_histories.rs
+++ b/crates/onyxstile-system/tests/control_histories.rs
@@ -1,4 +1,4 @@
-//! The control state under faults: CONFIG and LOST as the rules word them, over seeded histories.
+//! Control state under faults, over seeded histories: the CONFIG and LOST guarantees.
 
 mod support;
 
@@ -9,7 +9,8 @@
 use support::control_simulation::{CATCH_UP, ControlSimulation, Flaw};
 use support::variable;
 
-/// One history of faults and operators; what the checker found.
+/// Runs one history of faults and operator requests; returns the simulation with the checker's findings, and the number
+/// of faults.
 fn run_history(
     count: u8, tolerated: usize, seed: u64, flaw: Flaw, rounds: u32,
 ) -> (ControlSimulation, usize) {
@@ -76,13 +77,13 @@
     }
 }
 
-/// Histories a rough test plays: `HISTORIES`, or few enough for every run of the tests.
+/// Number of histories of an overlapping-fault test: `HISTORIES`, by default few enough for every test run.
 fn history_count() -> u64 {
     variable("HISTORIES", 150)
 }
 
-/// One history of losses that overlap as they come, cuts of 20 s among them; no more disks are lost at a time than are
-/// tolerated. Operators press all the while. At the end all machines are back.
+/// Runs one history with overlapping faults, including partitions of 20 s; no more disks are lost at a time than
+/// tolerated. Operators send requests throughout. All machines are back at the end.
 fn run_overlapping_history(
     count: u8, tolerated: usize, seed: u64, flaw: Flaw, rounds: u32,
 ) -> ControlSimulation {
@@ -138,7 +139,7 @@
             let serves = simulation.serves_within(8000);
             assert!(
                 serves,
-                "{count}, seed {seed}: nothing is acknowledged after the return
+                "{count}, seed {seed}: no write is acknowledged after recovery
 {}",
                 simulation.describe()
             );
@@ -151,15 +152,18 @@
     for seed in seeds {
         let (mut simulation, faults) = run_history(count, tolerated, seed, Flaw::None, rounds);
         assert!(simulation.violations.is_empty(), "seed {seed}: {:?}", simulation.violations);
-        assert!(simulation.serves_within(6000), "seed {seed}: nothing is acknowledged after {faults} faults");
-        // A read's messages may be lost like all others; the reader asks again.
+        assert!(
+            simulation.serves_within(6000),
+            "seed {seed}: no write is acknowledged after {faults} faults"
+        );
+        // The messages of a read may be lost like all others, so it is repeated.
         let before = simulation.reads;
         for _ in 0..8 {
             let reader = simulation.random_machine();
             simulation.read(reader);
             simulation.run(500);
         }
-        assert!(simulation.reads > before, "seed {seed}: no read is answered in calm");
+        assert!(simulation.reads > before, "seed {seed}: no read is answered without faults");
         assert!(simulation.violations.is_empty(), "seed {seed}: {:?}", simulation.violations);
     }
 }
@@ -184,12 +188,12 @@
         };
         simulation.cut(behind, 6000);
         simulation.run(2500);
-        assert!(simulation.serves_within(3000), "seed {seed}: two of three go on");
+        assert!(simulation.serves_within(3000), "seed {seed}: two of three continue");
         let others: Vec<_> = simulation.present().into_iter().filter(|ip| *ip != behind).collect();
         simulation.wipe(others[0], 1000);
         simulation.kill(others[1], 3000);
         simulation.run(9000);
-        assert!(simulation.serves_within(6000), "seed {seed}: the two that remember are a majority");
+        assert!(simulation.serves_within(6000), "seed {seed}: the two with their disks are a majority");
         assert!(simulation.violations.is_empty(), "seed {seed}: {:?}", simulation.violations);
     }
 }
@@ -210,7 +214,7 @@
     }
 }
 
-/// A controller that had lost its disk passed operations on to itself without end.
+/// Regression: a controller that had lost its disk forwarded operations to itself without end.
 #[test]
 fn an_operation_ends_at_a_machine_whose_lost_disk_heads_the_chain() {
     let ip = support::address(1);
@@ -225,7 +229,8 @@
     }
 }
 
-/// A zone of several core machines is lost as one; where more stand in one zone than may be lost, a majority went with it.
+/// All core machines of a zone are lost together. Where a zone held more of them than may be lost, a majority was lost
+/// with it.
 #[test]
 fn the_loss_of_a_zone_with_several_controllers_is_tolerated() {
     let tolerance = Tolerance { machines: 1, zones: 1, regions: 0 };
@@ -241,7 +246,10 @@
                 for ip in simulation.machines_in_zone(target) {
                     if wipes { simulation.wipe(ip, down) } else { simulation.kill(ip, down) }
                 }
-                assert!(simulation.serves_within(4000), "{count} in {zones}, seed {seed}: a zone is away");
+                assert!(
+                    simulation.serves_within(4000),
+                    "{count} in {zones}, seed {seed}: during the loss of a zone"
+                );
                 simulation.run(down + CATCH_UP);
             }
             assert!(
@@ -253,8 +261,8 @@
     }
 }
 
-/// Histories in which a flaw has to show. A process that starts waits for the others before it proposes a view, so that one that
-/// takes messages to its earlier life for its own shows in one of some hundred.
+/// Number of seeds within which a flaw must be detected. A starting process waits for the others before it proposes a
+/// view, so the flaw of accepting messages for an earlier incarnation shows only once in some hundred histories.
 const DETECTION_SEEDS: u64 = 2000;
 
 fn is_detected(flaw: Flaw) -> bool {
@@ -284,7 +292,7 @@
     assert!(is_detected(Flaw::HeadAcknowledges));
 }
 
-/// Two of three seeds stand in one zone: once the other zones have a controller each, one of the two gives its vote up.
+/// Two of three seeds are in one zone: once each of the other zones has a controller, one of the two loses its vote.
 #[test]
 fn an_overrepresented_zone_loses_one_elector_and_does_not_regain_it() {
     let id = |number: u8| ElectorId { ip: support::address(number).octets(), disk: 1 };
@@ -308,10 +316,10 @@
     assert_eq!(
         next_membership(&view(&electors), &ids, tolerance, &locations),
         None,
-        "the fourth stays a standby"
+        "the fourth remains a standby"
     );
     let all = next_membership(&crowded, &ids, support::ONE, &locations).expect("a change");
-    assert_eq!(all.0, ids, "where no zone may be lost, all vote");
+    assert_eq!(all.0, ids, "without tolerance of zone losses all vote");
 }
 
 #[test]
@@ -319,7 +327,7 @@
     assert!(is_detected(Flaw::SharedIncarnation));
 }
 
-/// Of two dead electors the one gives its place up that stood where the newcomer stands: the other may merely be cut off.
+/// Of two dead electors, the one in the zone of the new machine is replaced: the other may only be partitioned.
 #[test]
 fn a_new_machine_replaces_the_dead_elector_of_its_own_zone() {
     let id = |number: u8| ElectorId { ip: support::address(number).octets(), disk: 1 };
@@ -331,10 +339,10 @@
     let alive = [id(1), id(3), id(4), id(6)];
     let (electors, _) =
         next_membership(&view, &alive, Tolerance::of_machines(2), &locations).expect("a change");
-    assert_eq!(electors, [id(1), id(2), id(3), id(4), id(6)], "2 is dead, but 5 stood in zone e");
+    assert_eq!(electors, [id(1), id(2), id(3), id(4), id(6)], "2 is dead too, but 5 was in zone e");
 }
 
-/// What relays need after a loss of power of all: a majority that is sure of the newest change.
+/// Whether a majority reports the newest change as stable, which relays need after a power loss of all machines.
 fn has_stable_majority(simulation: &ControlSimulation, count: usize, newest: u64) -> bool {
     let is_current = |controller: &&Controller| {
         controller.is_stable() && controller.committed_state().is_some_and(|state| state.revision() == newest)
@@ -344,14 +352,15 @@
     current > count / 2
 }
 
-/// A loss of power of all, `late` of which return later; how long a majority that is back took until it was sure, in ms.
+/// Power loss of all machines, `late` of which return later. Returns the time in ms until a majority that has returned
+/// is stable.
 fn recovery_time_after_power_loss(count: u8, tolerated: usize, late: u64, seed: u64) -> u64 {
     let mut simulation = ControlSimulation::new(count, tolerated, seed, Flaw::None);
     simulation.run(1500);
     for _ in 0..4 {
         assert!(simulation.serves_within(20_000), "{count}, seed {seed}");
     }
-    // Late messages are over, and all know the newest.
+    // All delayed messages have arrived, and all machines have the newest state.
     simulation.run(2000);
     let newest = simulation.newest_committed();
     let view = |simulation: &ControlSimulation| {
@@ -361,7 +370,7 @@
     let machines = simulation.present();
     let back = machines.len() as u64 - late;
     for (index, ip) in (0u64..).zip(machines) {
-        // The last are back when membership would nearly hold them dead.
+        // The last machines return just before membership would declare them dead.
         simulation.kill(ip, if index < back { 500 } else { 1300 });
     }
     simulation.run(500);
@@ -370,20 +379,24 @@
     while !has_stable_majority(&simulation, usize::from(count), newest) {
         simulation.run(25);
         waited += 25;
-        assert!(waited <= 1500, "{count}, seed {seed}: no majority is sure");
+        assert!(waited <= 1500, "{count}, seed {seed}: no majority is stable");
     }
     let rounds = 2 + waited as usize / 200;
     let most = rounds * 2 * usize::from(count) * usize::from(count);
     let sent = simulation.messages_sent() - sent;
     assert!(sent <= most, "{count}, seed {seed}: {sent} messages in {waited} ms, {most} at most");
     simulation.run(1200);
-    assert_eq!(view(&simulation), before, "{count}, seed {seed}: nothing was lost, so the view stays");
+    assert_eq!(
+        view(&simulation),
+        before,
+        "{count}, seed {seed}: nothing was lost, so the view must not change"
+    );
     assert!(simulation.violations.is_empty(), "{count}, seed {seed}: {:?}", simulation.violations);
     waited
 }
 
-/// mncg-onyx-grown, trouble-1: nine controllers listened 0.07 to 0.57 s after the power, two new views followed, and relays
-/// were told a configuration 1.2 s after it.
+/// Regression: nine controllers were listening 0.07 to 0.57 s after a power loss, two new views followed, and relays
+/// received a configuration only after 1.2 s.
 #[test]
 fn after_power_loss_relays_wait_for_a_majority_not_for_the_whole_chain() {
     for (count, tolerated, late) in [(3, 1, 1), (5, 2, 2), (9, 2, 4)] {
@@ -391,7 +404,7 @@
             (0..40).map(|seed| recovery_time_after_power_loss(count, tolerated, late, seed)).collect();
         waited.sort_unstable();
         println!("{count} controllers: {waited:?} ms");
-        // The world loses and delays messages; what was lost goes again after 200 ms.
+        // The simulation loses and delays messages; lost status messages are repeated after 200 ms.
         assert!(waited[20] <= 50, "{count}: {waited:?}");
         assert!(waited[36] <= 450, "{count}: {waited:?}");
     }
--- a/crates/onyxstile-system/tests/control_model.rs
+++ b/crates/onyxstile-system/tests/control_model.rs
@@ -1,8 +1,10 @@
-//! Model checking of the control state: three controllers, every order of deliveries, timers and faults within bounds, breadth
-//! first, each state once. A checker states CONFIG and LOST; flawed variants show that it can fail.
+//! Model checking of the control state: three controllers, every order of deliveries, timers and faults within bounds,
+//! breadth first, each state once. A checker states the CONFIG and LOST guarantees; flawed variants show that it can
+//! fail.
 //!
-//! Messages of one sender to one receiver keep their order; any may be lost, where the bounds say so. `Status` is lost but for
-//! as many as the bounds say: it settles what relays are told, and helps otherwise. `MODEL_STATES` sets how many states a scenario may expand; the default keeps the run short.
+//! Messages from one sender to one receiver keep their order; any may be lost, within the bounds. `Status` messages are
+//! lost except for as many as the bounds allow: they determine what relays receive, and otherwise only speed up
+//! recovery. `MODEL_STATES` sets how many states a scenario may expand; the default keeps the run short.
 
 mod support;
 
@@ -18,22 +20,22 @@
 use support::{ONE, address};
 
 const MACHINES: usize = 3;
-/// Time from one tick to the next: every timer but the longest is due.
+/// Time between two ticks: every timer except the longest is due.
 const TICK_MS: u64 = 450;
 const STATES: usize = 4_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Flaw {
     None,
-    /// The head counts a write as held by all once it has sent it on.
+    /// The head counts a write as stored by all members once it has sent it.
     HeadAcknowledges,
-    /// What is persisted is lost at a kill.
+    /// Persisted data is lost when the process is killed.
     UnsyncedVotes,
-    /// A machine says that its disk holds a write more than it does.
+    /// A machine reports one more write than its disk holds.
     OverstatesWrites,
 }
 
-/// What may still happen.
+/// Events that may still occur.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Bounds {
     ticks: u8,
@@ -41,7 +43,7 @@
     wipes: u8,
     losses: u8,
     suspicions: u8,
-    /// Messages that say how far a machine is and are not lost.
+    /// Status messages that are not lost.
     statuses: u8,
 }
 
@@ -64,21 +66,21 @@
     suspected: Option<usize>,
     now: u64,
     remaining: Bounds,
-    /// Revisions whose change was acknowledged.
+    /// Revisions of acknowledged changes.
     acknowledged: Vec<u64>,
-    /// The revision in force after each write that anybody has told as committed.
+    /// The revision in force after each write that any machine reported as committed.
     committed: BTreeMap<u64, u64>,
-    /// The view that a change was first acknowledged in.
+    /// The view in which a change was first acknowledged.
     acknowledged_in: Option<u64>,
-    /// The newest sequence that was told to relays by a machine in each view.
+    /// The newest sequence that any machine reported to relays in each view.
     reported: BTreeMap<u64, u64>,
-    /// The view of each number, as digests.
+    /// The debug text of the view with each number.
     views: BTreeMap<u64, String>,
     violation: Option<String>,
 }
 
-/// When the search begins, in ms: past the time that a controller gives others to return.
-const LONG_AFTER_START_MS: u64 = 10_000;
+/// Start of the search, in ms: after the grace period for restarted electors.
+const SEARCH_START_MS: u64 = 10_000;
 
 fn index(ip: Ipv4Addr) -> usize {
     usize::from(ip.octets()[3]) - 1
@@ -107,7 +109,7 @@
             disks,
             channels: BTreeMap::new(),
             suspected: None,
-            now: LONG_AFTER_START_MS,
+            now: SEARCH_START_MS,
             remaining,
             acknowledged: Vec::new(),
             committed: BTreeMap::new(),
@@ -118,7 +120,7 @@
         }
     }
 
-    /// An operator sends a change to the first version to a machine.
+    /// An operator sends a machine a change of the first version.
     fn put(mut self, machine: usize, revision: u64, flaw: Flaw) -> State {
         let operation = Operation::PutConfiguration { base: Some(0), body: body(revision) };
         self.step(machine, Input::Operation { number: revision, operation }, flaw);
@@ -135,7 +137,7 @@
         (0..MACHINES).filter(is_live).map(|machine| (id(machine), place(machine))).collect()
     }
 
-    /// What was on its way to the machine is lost with its connections.
+    /// Messages in transit to the machine are lost with its connections.
     fn restart(&mut self, machine: usize) {
         self.channels.retain(|(_, to), _| *to != machine);
         self.incarnations[machine] += 1;
@@ -150,7 +152,10 @@
                     self.disks[machine] = (*durable).clone()
                 }
                 Effect::Append { write, .. } if flaw != Flaw::UnsyncedVotes => {
-                    assert!(self.disks[machine].state.apply(&write), "follows what is on the disk");
+                    assert!(
+                        self.disks[machine].state.apply(&write),
+                        "the write must be based on the state on disk"
+                    );
                 }
                 Effect::Persist(_) | Effect::Append { .. } => {}
                 Effect::Send { message: Message::Status { .. }, .. } if self.remaining.statuses == 0 => {}
@@ -161,7 +166,8 @@
         }
     }
 
-    /// The machine that was asked tells the operator. If it knows a newer view than the head did, `told` is what counts.
+    /// The machine that received the request replies to the operator. It may have a newer view than the head had;
+    /// `reported` covers that case.
     fn record_acknowledged(&mut self, machine: usize, revision: u64) {
         self.acknowledged.push(revision);
         self.acknowledged_in.get_or_insert(self.controllers[machine].installed());
@@ -183,7 +189,8 @@
 
     fn check(&mut self) {
         if self.acknowledged.len() > 1 && self.acknowledged[0] != self.acknowledged[1] {
-            self.violation = Some(format!("two changes of one version were taken: {:?}", self.acknowledged));
+            self.violation =
+                Some(format!("two changes of one version were accepted: {:?}", self.acknowledged));
         }
         for machine in 0..MACHINES {
             self.check_machine(machine);
@@ -196,7 +203,8 @@
             let revision = state.revision();
             let held = *self.committed.entry(state.sequence).or_insert(revision);
             if held != revision {
-                self.violation = Some(format!("write {} is {held} and {revision}", state.sequence));
+                self.violation =
+                    Some(format!("write {} has revisions {held} and {revision}", state.sequence));
             }
         }
         let Some(view) = controller.view() else { return };
@@ -206,12 +214,12 @@
         }
         let reported_before = self.reported.range(..view.number).map(|(_, sequence)| *sequence).max();
         if reported_before.is_some_and(|reported| reported > view.state.sequence) {
-            self.violation = Some(format!("view {} lacks what relays were told before", view.number));
+            self.violation = Some(format!("view {} lacks state reported to relays before", view.number));
         }
         let reported = format!("{view:?}");
         let held = self.views.entry(view.number).or_insert_with(|| reported.clone());
         if *held != reported {
-            self.violation = Some(format!("there are two views {}", view.number));
+            self.violation = Some(format!("two different views with number {}", view.number));
         }
         let is_later = |acknowledged: &u64| view.number > *acknowledged && view.state.sequence == 0;
         if self.acknowledged_in.is_some_and(|view| is_later(&view)) {
@@ -220,8 +228,8 @@
     }
 }
 
-/// A controller that has started long ago: the time that it gives others to return would only take orders of events out of the
-/// search, and no rule rests on it.
+/// A controller that started long ago. The grace period for restarted electors would only remove event orders from the
+/// search, and no guarantee depends on it.
 fn boot(machine: usize, disk: &Durable, incarnation: Incarnation) -> Controller {
     Controller::new(ip(machine), disk.clone(), ONE, incarnation, Instant::default())
         .with_location(place(machine))
@@ -333,8 +341,8 @@
     }
 }
 
-/// A write is on its way down the chain when machines say how far they are; then the head falls silent, and a view without it
-/// is decided: what relays were told by then is in that view.
+/// A write is on its way down the chain when machines send their status; then the head becomes silent, and a view
+/// without it is decided. That view must contain everything reported to relays until then.
 fn search_reports_during_view_change(flaw: Flaw) -> Searched {
     use Action::{Deliver, Suspect, Tick};
     let bounds = Bounds { ticks: 4, suspicions: 1, statuses: 4, ..NO_EVENTS };
@@ -346,7 +354,7 @@
 #[test]
 fn state_reported_on_majority_evidence_is_in_every_later_view() {
     let searched = search_reports_during_view_change(Flaw::None);
-    searched.report("told by a majority");
+    searched.report("state reported on majority evidence");
     assert_eq!(searched.violation, None);
     assert!(searched.depth >= 4, "depth {}", searched.depth);
 }
@@ -354,8 +362,10 @@
 #[test]
 fn a_machine_that_overstates_its_writes_is_detected() {
     let searched = search_reports_during_view_change(Flaw::OverstatesWrites);
-    searched.report("a machine that boasts");
-    assert!(searched.violation.expect("is caught").contains("lacks what relays were told"));
+    searched.report("a machine that overstates its writes");
+    assert!(
+        searched.violation.expect("the flaw is detected").contains("lacks state reported to relays before")
+    );
 }
 
 #[test]
@@ -364,10 +374,11 @@
     let start = State::start(bounds).put(0, 1, Flaw::HeadAcknowledges);
     let searched = search(start, Flaw::HeadAcknowledges);
     searched.report("a head that acknowledges alone");
-    assert!(searched.violation.expect("is caught").contains("without an acknowledged change"));
+    assert!(searched.violation.expect("the flaw is detected").contains("without an acknowledged change"));
 }
 
-/// One controller decides a view with another, which is killed; then that one and the third are to decide.
+/// One controller decides a view with another one, which is then killed; next, the killed one and the third must
+/// decide.
 fn state_after_decision_and_kill(flaw: Flaw) -> State {
     use Action::{Deliver, Kill, Suspect, Tick};
     let steps = [
@@ -397,6 +408,6 @@
     searched.report("a second decision");
     assert_eq!(searched.violation, None);
     let searched = search(state_after_decision_and_kill(Flaw::UnsyncedVotes), Flaw::UnsyncedVotes);
-    searched.report("votes that are not synced");
-    assert!(searched.violation.expect("is caught").contains("two views 2"));
+    searched.report("unsynced votes");
+    assert!(searched.violation.expect("the flaw is detected").contains("two different views with number 2"));
 }
--- a/crates/onyxstile-system/tests/drain_histories.rs
+++ b/crates/onyxstile-system/tests/drain_histories.rs
@@ -1,5 +1,5 @@
-//! DRAIN over seeded histories: a drain that was acknowledged reaches every relay in its time, whichever controllers forget it
-//! right after, and no relay goes back behind it.
+//! The DRAIN guarantee over seeded histories: an acknowledged drain reaches every relay within the bound, whichever
+//! controllers lose it right afterwards, and no relay reverts it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 const HEARTBEAT: u64 = 1000;
 const POLL: u64 = 200;
 const DRAIN_BOUND: u64 = 2000;
-/// A controller that was lost counts as lost until it has been back for this long.
+/// Time in ms for which a returned controller still counts as lost.
 const CATCH_UP: u64 = 2000;
 
 fn instance(stage: Stage, sequence: u64) -> Instance {
@@ -31,20 +31,20 @@
 
 struct Controller {
     registry: Registry,
-    /// What its disk holds, some moments old.
+    /// Contents of its disk, which may lag behind the registry.
     persisted: Vec<Instance>,
     down_until: u64,
     lost_until: u64,
 }
 
-/// What one relay has heard: the newest change of each controller's life, and the furthest stage.
+/// State of one relay: the incarnation and newest counter received from each controller, and the furthest stage.
 #[derive(Default)]
 struct Relay {
     seen: BTreeMap<usize, (u64, u64)>,
     stage: Option<Stage>,
 }
 
-struct World {
+struct DrainSimulation {
     now: u64,
     rng: Pcg64Mcg,
     controllers: Vec<Controller>,
@@ -56,15 +56,15 @@
     exchanges_records: bool,
 }
 
-impl World {
-    fn new(count: usize, tolerated: usize, seed: u64) -> World {
+impl DrainSimulation {
+    fn new(count: usize, tolerated: usize, seed: u64) -> DrainSimulation {
         let controller = |incarnation| Controller {
             registry: Registry::new(incarnation, Duration::from_millis(HEARTBEAT)),
             persisted: Vec::new(),
             down_until: 0,
             lost_until: 0,
         };
-        World {
+        DrainSimulation {
             now: 0,
             rng: Pcg64Mcg::new(u128::from(seed) << 1 | 1),
             controllers: (1..=count as u64).map(controller).collect(),
@@ -93,7 +93,8 @@
         }
     }
 
-    /// A heartbeat to one controller; `leaves` has it held by as many others as may be lost before it is acknowledged.
+    /// Sends a heartbeat to one controller. If `is_replicated`, a drain is stored by as many others as needed before it
+    /// is acknowledged.
     fn heartbeat(&mut self, stage: Stage, sequence: u64, is_replicated: bool) {
         let first = self.random_running();
         let now = Instant::from_millis(self.now);
@@ -107,12 +108,12 @@
         for index in others.into_iter().take(needed).chain([first]) {
             let controller = &mut self.controllers[index];
             controller.registry.merge(now, instance(stage, sequence));
-            // A drain is on the disk before it is acknowledged.
+            // A drain is on disk before it is acknowledged.
             controller.persisted = controller.registry.records();
         }
     }
 
-    /// Each controller that is up pulls the records of one other.
+    /// Each running controller pulls the records of one other.
     fn exchange(&mut self) {
         let now = Instant::from_millis(self.now);
         for index in 0..self.controllers.len() {
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Loses a controller's memory if one more loss is borne; what its disk holds may come back.
+    /// Loses a controller's memory if the tolerance allows one more loss; its disk contents may return.
     fn lose_if_tolerated(&mut self, index: usize) {
         let lost = self.controllers.iter().filter(|controller| controller.lost_until > self.now).count();
         if lost >= self.tolerated || self.controllers[index].lost_until > self.now {
@@ -137,7 +138,7 @@
         self.stop(index, is_wiped);
     }
 
-    /// Ends a controller's process for a while, its disk lost or not.
+    /// Stops a controller's process for a while, with or without loss of its disk.
     fn stop(&mut self, index: usize, is_wiped: bool) {
         let down = 200 + self.random_below(1500) as u64;
         self.last_incarnation += 1;
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Plays one endpoint's life; true replication or none.
+    /// Runs the lifecycle of one endpoint, with or without replication of its drain.
     fn run_lifecycle(&mut self, is_replicated: bool) {
         let drains_at = 3000 + self.random_below(3000) as u64;
         let mut acknowledged: Option<u64> = None;
@@ -180,7 +181,7 @@
                 self.step(acknowledged);
             }
             if self.now >= drains_at {
-                // Later heartbeats repeat it, where they arrive.
+                // Later heartbeats repeat the drain, if they arrive.
                 if acknowledged.is_none() || self.random_below(2) == 0 {
                     self.heartbeat(Stage::Draining, sequence, is_replicated);
                     acknowledged.get_or_insert(self.now);
@@ -193,7 +194,7 @@
 
     fn step(&mut self, acknowledged: Option<u64>) {
         self.now += 20;
-        // Losses come mostly right after the acknowledgement.
+        // Most losses occur right after the acknowledgement.
         let is_just_acknowledged = acknowledged.is_some_and(|at| self.now <= at + 60);
         if self.random_below(if is_just_acknowledged { 2 } else { 60 }) == 0 {
             let index = self.random_below(self.controllers.len());
@@ -201,14 +202,14 @@
         }
         self.run_periodic_work();
         if self.random_below(150) == 0 {
-            // A relay that starts anew is ready only once it has heard a majority.
+            // A restarted relay is ready only after it has received the records of a majority.
             let number = self.random_below(self.relays.len());
             self.restart_relay(number);
         }
         if acknowledged.is_some_and(|at| self.now > at + DRAIN_BOUND) {
             let behind = self.relays.iter().filter(|relay| relay.stage == Some(Stage::Ready)).count();
             if behind > 0 {
-                self.violations.push(format!("{behind} relays still send at {} ms", self.now));
+                self.violations.push(format!("{behind} relays still send requests at {} ms", self.now));
             }
         }
     }
@@ -218,7 +219,7 @@
         (0..4).for_each(|_| self.poll(number));
     }
 
-    /// What happens all the while: records go to disks, relays poll, controllers pull.
+    /// Periodic work: records are persisted, relays poll, controllers pull.
     fn run_periodic_work(&mut self) {
         if self.now.is_multiple_of(240) {
             let index = self.random_below(self.controllers.len());
@@ -240,29 +241,29 @@
     }
 }
 
-/// An endpoint says once that it has left; then controllers lose their disks in turn, each after the one before has caught
-/// up. What a relay that starts after that takes the endpoint for.
+/// An endpoint announces its departure once; then controllers lose their disks one after the other, each after the
+/// previous one has caught up. Returns the stage that a relay started after that has for the endpoint.
 fn stage_after_successive_wipes(seed: u64, exchanges_records: bool) -> Option<Stage> {
-    let mut world = World { exchanges_records, ..World::new(3, 1, seed) };
+    let mut simulation = DrainSimulation { exchanges_records, ..DrainSimulation::new(3, 1, seed) };
     for sequence in 1..=8 {
-        world.advance(200);
-        world.heartbeat(Stage::Ready, sequence, true);
+        simulation.advance(200);
+        simulation.heartbeat(Stage::Ready, sequence, true);
     }
-    world.heartbeat(Stage::Gone, 9, true);
-    let first = world.random_below(3);
+    simulation.heartbeat(Stage::Gone, 9, true);
+    let first = simulation.random_below(3);
     for index in [first, (first + 1) % 3] {
-        world.stop(index, true);
-        world.advance(1700 + CATCH_UP);
+        simulation.stop(index, true);
+        simulation.advance(1700 + CATCH_UP);
     }
-    world.restart_relay(0);
-    world.relays[0].stage
+    simulation.restart_relay(0);
+    simulation.relays[0].stage
 }
 
 fn find_violations(count: usize, tolerated: usize, is_replicated: bool, seeds: u64) -> Vec<String> {
     let run_lifecycle = |seed| {
-        let mut world = World::new(count, tolerated, seed);
-        world.run_lifecycle(is_replicated);
-        world.violations.first().map(|violation| format!("seed {seed}: {violation}"))
+        let mut simulation = DrainSimulation::new(count, tolerated, seed);
+        simulation.run_lifecycle(is_replicated);
+        simulation.violations.first().map(|violation| format!("seed {seed}: {violation}"))
     };
     (0..seeds).filter_map(run_lifecycle).collect()
 }
@@ -317,11 +318,11 @@
     assert!(sync.check_complete(ELECTORS[5], &ELECTORS));
     assert!(
         !DrainSync::new(false).check_complete([9, 9, 9, 9], &ELECTORS),
-        "whoever is no elector holds nothing yet"
+        "a machine that is not an elector is never complete"
     );
 }
 
-/// Whoever hears a majority of the electors hears one that holds the drain, as many lost as may be.
+/// Any majority of the electors includes one that holds the drain, even after the tolerated number of losses.
 #[test]
 fn every_majority_includes_a_holder() {
     for electors in 1..=9usize {
--- a/crates/onyxstile-system/tests/incarnations.rs
+++ b/crates/onyxstile-system/tests/incarnations.rs
@@ -1,4 +1,5 @@
-//! Messages that outlast a process: what was meant for an earlier life of a controller counts for nothing in a later one.
+//! Messages that arrive after a process has ended: messages for an earlier incarnation of a controller have no effect
+//! on a later one.
 
 mod support;
 
@@ -32,8 +33,8 @@
         .collect()
 }
 
-/// A controller is restarted while the head's outcome for its operation 1 is under way; its next caller asks for the
-/// configuration and got "If-Match is missing or no number".
+/// Regression: a controller restarted while the head's outcome for its operation 1 was in transit; its next caller
+/// asked for the configuration and got "If-Match is missing or no number".
 #[test]
 fn an_outcome_for_an_earlier_incarnation_ends_no_later_operation() {
     let mut later = start(2, 8);
@@ -46,7 +47,8 @@
     assert_eq!(replies(&deliver(&mut later, 1, own)), [(1, outcome)]);
 }
 
-/// The tail of three is restarted; one late word of another and its own were a majority for a read that nobody confirmed.
+/// Regression: the tail of three restarted; a late confirmation from another machine and its own formed a majority for
+/// a read that nobody had confirmed.
 #[test]
 fn a_confirmation_for_an_earlier_incarnation_confirms_no_later_read() {
     let confirm_request = |effects: &[Effect]| {
@@ -63,10 +65,10 @@
         incarnation,
         nonce,
     };
-    let before = confirm_request(&submit_read(&mut start(3, 7), 1)).expect("a question to the others");
+    let before = confirm_request(&submit_read(&mut start(3, 7), 1)).expect("a confirm request");
     let mut later = start(3, 8);
-    let asked = confirm_request(&submit_read(&mut later, 1)).expect("a question to the others");
-    assert_eq!((asked.0, asked.2), (before.0, before.2), "view and number alone don't tell the two apart");
+    let asked = confirm_request(&submit_read(&mut later, 1)).expect("a confirm request");
+    assert_eq!((asked.0, asked.2), (before.0, before.2), "view and nonce alone are the same for both");
     assert_eq!(replies(&deliver(&mut later, 1, confirmed(before))), []);
     assert_eq!(replies(&deliver(&mut later, 1, confirmed(asked))), [(1, Outcome::Configuration(None))]);
 }
--- a/crates/onyxstile-system/tests/membership.rs
+++ b/crates/onyxstile-system/tests/membership.rs
@@ -1,4 +1,4 @@
-//! SWIM over a network that loses datagrams: who is held dead, and for how long.
+//! SWIM over a network that loses datagrams: which members are declared dead, and for how long.
 
 mod support;
 
@@ -73,7 +73,7 @@
                 let sent = self.peers.get_mut(&ip).map(|peer| peer.tick(now)).unwrap_or_default();
                 queue.extend(sent.into_iter().map(|outgoing| (ip, outgoing)));
             }
-            // Replies travel within the tick: a round trip is short beside a probe.
+            // Replies are delivered within the tick: a round trip is short compared with a probe.
             while let Some((from, outgoing)) = queue.pop() {
                 let answers = self.deliver(now, from, outgoing);
                 queue.extend(answers);
@@ -94,7 +94,8 @@
         }
         let bytes = onyxstile_system::wire::encode(&datagram);
         assert!(bytes.len() < 1400, "a datagram of {} bytes", bytes.len());
-        let datagram: Datagram = onyxstile_system::wire::decode(&bytes).expect("decodes what was encoded");
+        let datagram: Datagram =
+            onyxstile_system::wire::decode(&bytes).expect("the encoded datagram decodes");
         let Some(peer) = self.peers.get_mut(&to) else { return Vec::new() };
         peer.receive(now, datagram).into_iter().map(|answer| (to, answer)).collect()
     }
@@ -112,7 +113,7 @@
         network.run(3000);
         for at in 1..=12 {
             for of in (1..=12).filter(|of| *of != at) {
-                // A probe may have been lost a moment ago; what counts is that it is known and not held dead.
+                // A probe may just have been lost, so the member may be suspected; it must be known and not dead.
                 let state = network.state(at, of);
                 assert!(state.is_some_and(|state| state != MemberState::Dead), "seed {seed}: {of} at {at}");
             }
@@ -178,7 +179,8 @@
         network.run(2500);
         for at in [1, 3, 4, 5] {
             let peer = &network.peers[&address(at)];
-            let member = peer.members().find(|member| member.address() == address(2)).expect("is known");
+            let member =
+                peer.members().find(|member| member.address() == address(2)).expect("the member is known");
             assert_eq!((member.state, member.disk), (MemberState::Alive, 99), "seed {seed} at {at}");
         }
     }
@@ -215,8 +217,8 @@
     assert!(large <= small + small / 10, "{small} datagrams among 6, {large} among 120");
 }
 
-/// A share of a core as a quota: full speed for a fifth of each tenth of a second, then nothing. Each machine's time falls
-/// elsewhere; what comes meanwhile waits.
+/// CPU quota: full speed for a fifth of every 100 ms, then nothing. The machines' slots are staggered; datagrams wait
+/// until the receiver runs.
 #[test]
 fn no_machine_is_declared_dead_under_a_cpu_quota() {
     const PERIOD_MS: u64 = 100;
--- a/crates/onyxstile-system/tests/power_return.rs
+++ b/crates/onyxstile-system/tests/power_return.rs
@@ -1,5 +1,5 @@
-//! All controllers return within moments of one another after a loss of power: the view that they had goes on, and relays are
-//! told of what a majority has on its disks.
+//! Return of all controllers within a short time after a power loss: the previous view continues, and relays receive
+//! the state that is on the disks of a majority.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use onyxstile_system::tolerance::Place;
 use support::{ONE, address, elector, seeds};
 
-/// A machine as membership shows it.
+/// A machine as reported by membership.
 fn live_member(number: u8) -> (ElectorId, Place) {
     (elector(number), Place::default())
 }
@@ -21,7 +21,7 @@
     Controller::bootstrap(address(number), &seeds())
 }
 
-/// What machine 1 sends from its start until `until_ms`, while membership shows it `others`.
+/// The messages that machine 1 sends from its start until `until_ms`, while membership reports `others` alive.
 fn sent(mut controller: Controller, others: &[u8], until_ms: u64) -> Vec<Message> {
     let mut sent = Vec::new();
     for ms in (0..until_ms).step_by(25) {
@@ -45,12 +45,12 @@
     Controller::new(address(1), durable(1), ONE, 7, Instant::from_millis(0))
 }
 
-/// mncg-onyx-grown, trouble-1: view 4 with six of nine electors 0.6 s after the power, view 5 with all at 1.1 s, and relays waited
-/// for the second.
+/// Regression: after a power loss, view 4 with six of nine electors came after 0.6 s and view 5 with all after 1.1 s,
+/// and relays waited for the second.
 #[test]
 fn no_view_is_proposed_without_electors_that_are_still_restarting() {
-    assert!(!proposes(&sent(start(), &[2], 900)), "machine 3 may be as late as this one");
-    assert!(!proposes(&sent(start(), &[2, 3], 3000)), "all are back, and nothing was lost");
+    assert!(!proposes(&sent(start(), &[2], 900)), "machine 3 may still be restarting");
+    assert!(!proposes(&sent(start(), &[2, 3], 3000)), "all have returned, and nothing was lost");
 }
 
 #[test]
@@ -63,10 +63,11 @@
     let mut controller = start();
     let now = Instant::from_millis(0);
     controller.step(now, Input::Live(vec![live_member(2), live_member(3)]));
-    assert!(proposes(&sent(controller, &[2], 200)), "it was met in this life");
+    assert!(proposes(&sent(controller, &[2], 200)), "it was seen in this incarnation");
 }
 
-/// The head passes on what made its newest state, not the whole of it, to a successor that has it on its disk too.
+/// The head sends the write that produced its newest state, not the full state, to a successor that has the state on
+/// disk as well.
 #[test]
 fn a_write_from_before_the_power_loss_is_committed_by_resending_that_write() {
     let mut held = durable(1);
@@ -90,12 +91,12 @@
         let full_state = update_sent(sent(controller(last_write), &[2, 3], 100));
         assert!(
             matches!(full_state, Some(ChainUpdate::State(_))),
-            "one that is not the newest is not passed on"
+            "a write that is not the newest is not sent"
         );
     }
 }
 
-/// Machine 1 with one write on its disk of which it does not know whether it was committed.
+/// Machine 1 with one write on its disk that may or may not have been committed.
 fn controller_with_uncommitted_write() -> Controller {
     let mut held = durable(1);
     let plan = StoragePlan { epoch: 1, ..StoragePlan::default() };
@@ -113,11 +114,11 @@
 fn state_on_a_majority_of_disks_is_stable_while_the_rest_is_down() {
     let now = Instant::from_millis(10);
     let mut controller = controller_with_uncommitted_write();
-    assert!(!controller.is_stable(), "machine 1 alone may have it");
+    assert!(!controller.is_stable(), "only machine 1 is known to have it");
     controller.step(now, status(2, 1, 0));
     assert!(!controller.is_stable(), "machine 2 does not have it");
     controller.step(now, status(2, 2, 1));
-    assert!(!controller.is_stable(), "what is on a disk in another view says nothing of this one");
+    assert!(!controller.is_stable(), "a report for another view does not count");
     controller.step(now, status(2, 1, 1));
     assert!(controller.is_stable());
     assert_eq!(controller.committed_state().map(|state| state.sequence), Some(1));
@@ -133,7 +134,7 @@
     assert!(!controller.is_stable());
 }
 
-/// Reads are answered by the tail, which may lack what a majority has.
+/// Reads are answered by the tail, which may lack the state that a majority has.
 #[test]
 fn an_operator_still_waits_for_the_whole_chain() {
     let now = Instant::from_millis(10);
@@ -144,12 +145,12 @@
     effects.extend(controller.step(now, status(2, 1, 1)));
     assert!(controller.is_stable());
     let is_replied = |effects: &[Effect]| effects.iter().any(|effect| matches!(effect, Effect::Reply { .. }));
-    assert!(!is_replied(&effects), "machine 3 lacks it and is the tail");
+    assert!(!is_replied(&effects), "machine 3, the tail, lacks it");
     let message = Message::Applied { view: 1, sequence: 1 };
     assert!(is_replied(&controller.step(now, Input::Message { from: address(2), message })));
 }
 
-/// One that starts is told at once how far the others are, and they it, once each.
+/// A starting machine and the others exchange their status at once, once each.
 #[test]
 fn the_first_status_of_a_machine_is_answered_at_once() {
     let mut controller = start();
--- a/crates/onyxstile-system/tests/registry.rs
+++ b/crates/onyxstile-system/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Endpoints' registrations: what is soft, and what is not.
+//! Endpoint registrations: soft state, and drains, which are permanent.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     let body = format!(
         r#"{{"service":"s","address":"10.0.0.9:80","zone":"z","revision":"v1","capacity":8,"state":"{state}","warmup_left_ms":0,"sequence":{sequence}}}"#
     );
-    Instance::from_json(id, body.as_bytes()).expect("a registration")
+    Instance::from_json(id, body.as_bytes()).expect("a valid registration")
 }
 
 fn registry() -> Registry {
@@ -61,7 +61,7 @@
     assert!(registry.since(77, seen).is_empty());
     assert!(registry.merge(at(900), heartbeat("i", "draining", 3)));
     assert_eq!(registry.since(77, seen).len(), 1);
-    assert_eq!(registry.since(76, seen).len(), 1, "the counter of another life says nothing");
+    assert_eq!(registry.since(76, seen).len(), 1, "the counter of another origin is ignored");
 }
 
 #[test]
@@ -72,7 +72,7 @@
     assert!(registry.tick(at(4100)));
     let held = registry.since(0, 0);
     assert_eq!((held[0].stage, held[0].is_silent), (Stage::Ready, true));
-    assert!(registry.merge(at(4200), heartbeat("i", "ready", 2)), "it is heard again");
+    assert!(registry.merge(at(4200), heartbeat("i", "ready", 2)), "its heartbeat clears the silence");
     assert!(!registry.since(0, 0)[0].is_silent);
 }
 
@@ -86,7 +86,8 @@
 
 #[test]
 fn a_body_that_lacks_a_field_names_it() {
-    let error = |body: &str| Instance::from_json("i", body.as_bytes()).expect_err("is refused").to_string();
+    let error =
+        |body: &str| Instance::from_json("i", body.as_bytes()).expect_err("the body is rejected").to_string();
     assert_eq!(error(r#"{"service":"s","state":"ready"}"#), "address is missing");
     assert_eq!(
         error(r#"{"service":"s","address":"nowhere","state":"ready"}"#),
@@ -95,7 +96,8 @@
     assert!(error("{").starts_with("line 1"));
 }
 
-/// All controllers lose power: until the next heartbeats no endpoint was known, and those heard first got all calls.
+/// Regression: after a power loss of all controllers no endpoint was known until the next heartbeats, and the first
+/// endpoints to register received all calls.
 #[test]
 fn restored_records_are_available_after_a_restart_and_time_out() {
     let mut before = registry();
@@ -113,7 +115,7 @@
     assert!(stages.contains(&("leaves".into(), Stage::Draining)), "{stages:?}");
     assert!(stages.contains(&("gone".into(), Stage::Gone)), "{stages:?}");
     assert!(!after.tick(at(3000)));
-    assert!(after.tick(at(5000)), "nothing was heard of it since");
+    assert!(after.tick(at(5000)), "no heartbeat arrived since");
     assert_eq!(after.ready(), 0);
 }
 
@@ -121,14 +123,14 @@
     Registry::new(88, Duration::from_millis(1000))
 }
 
-/// All that one controller tells another that knows nothing of it.
+/// Sends all updates of one controller to another that has none yet.
 fn send_updates(now: Instant, from: &Registry, to: &mut Registry) {
     from.updates_since(0, 0).into_iter().for_each(|update| {
         to.merge_update(now, update);
     });
 }
 
-/// mncg-onyx-grown, trouble-1: after a loss of power nine controllers knew 11 to 19 endpoints each, of 68.
+/// Regression: after a power loss nine controllers knew 11 to 19 endpoints each, of 68.
 #[test]
 fn records_received_by_one_controller_are_persisted_by_every_other() {
     let (mut owner, mut second) = (registry(), other_registry());
@@ -137,7 +139,7 @@
     let mut after = Registry::new(99, Duration::from_millis(1000));
     after.restore(at(0), second.records());
     assert_eq!(after.ready(), 1);
-    assert!(second.changes() > 0, "it is written");
+    assert!(second.changes() > 0, "the change is persisted");
 }
 
 #[test]
@@ -146,16 +148,12 @@
     let seen = second.counter();
     owner.merge(at(0), heartbeat("i", "ready", 1));
     send_updates(at(10), &owner, &mut second);
-    assert_eq!(second.counter(), seen, "nobody is woken");
+    assert_eq!(second.counter(), seen, "no subscriber is notified");
     assert!(second.since(88, seen).is_empty());
-    assert_eq!(
-        second.since(0, 0).len(),
-        1,
-        "a relay that starts needs a majority of the controllers, not all"
-    );
+    assert_eq!(second.since(0, 0).len(), 1, "a starting relay needs a majority of the controllers, not all");
     owner.merge(at(20), heartbeat("i", "draining", 2));
     send_updates(at(30), &owner, &mut second);
-    assert_eq!(second.since(88, seen).len(), 1, "a drain is told by all");
+    assert_eq!(second.since(88, seen).len(), 1, "all controllers publish a drain");
 }
 
 #[test]
@@ -176,8 +174,8 @@
     first.merge(at(0), heartbeat("i", "ready", 1));
     send_updates(at(10), &first, &mut second);
     let seen = second.counter();
-    assert!(!second.merge(at(1000), heartbeat("i", "ready", 2)), "nobody is woken for it");
-    assert!(second.counter() > seen, "whom it is heard by is told all the same");
+    assert!(!second.merge(at(1000), heartbeat("i", "ready", 2)), "no subscriber is notified of it");
+    assert!(second.counter() > seen, "the new owner is published all the same");
     send_updates(at(1010), &second, &mut first);
     assert!(!first.tick(at(60_000)));
     let update = second.updates_since(0, 0);
@@ -192,12 +190,13 @@
     second.forget_origin(at(5000), 77);
     assert!(!second.tick(at(8900)));
     send_updates(at(8950), &owner, &mut second);
-    assert!(second.tick(at(9100)), "a late word of the life that is over does not hold it up");
-    assert!(second.merge(at(9200), heartbeat("i", "ready", 2)), "until it is heard");
+    assert!(second.tick(at(9100)), "a late update from the ended incarnation does not delay it");
+    assert!(second.merge(at(9200), heartbeat("i", "ready", 2)), "a heartbeat clears the silence");
     assert_eq!(second.ready(), 1);
 }
 
-/// After a return both hold it from their disks; it is heard by one, and the other is cut off from that one.
+/// After a restart both controllers have restored the endpoint; one receives its heartbeats, and the other is
+/// partitioned from that one.
 #[test]
 fn a_silence_inferred_without_ownership_yields_to_a_later_heartbeat() {
     let (mut owner, mut cut_off) = (registry(), other_registry());
@@ -205,7 +204,7 @@
     cut_off.restore(at(0), vec![heartbeat("i", "ready", 7)]);
     let before = owner.counter();
     owner.merge(at(500), heartbeat("i", "ready", 8));
-    assert_eq!(owner.since(77, before)[0].sequence, 8, "relays are told, with the sequence");
+    assert_eq!(owner.since(77, before)[0].sequence, 8, "the change is published with its sequence");
     assert!(cut_off.tick(at(5000)));
     let supposed = cut_off.since(0, 0).remove(0);
     assert!(supposed.is_silent && supposed.sequence < 8);
--- a/crates/onyxstile-system/tests/support/control_simulation.rs
+++ b/crates/onyxstile-system/tests/support/control_simulation.rs
@@ -1,5 +1,5 @@
-//! Controllers in virtual time under a seeded scheduler: messages are lost, late, doubled and out of order; machines are
-//! killed in mid-step, wiped, frozen, cut off and replaced. A checker states the rules for configurations.
+//! Controllers in virtual time under a seeded scheduler: messages are lost, delayed, duplicated and reordered; machines
+//! are killed in mid-step, wiped, frozen, partitioned and replaced. A checker states the guarantees for configurations.
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::Ipv4Addr;
@@ -18,28 +18,28 @@
 mod faults;
 mod operators;
 
-/// How a world departs from what the controllers rely on; each has to be caught by the checker.
+/// A violation of an assumption that the controllers rely on; the checker must detect each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    /// None: nothing may be caught.
+    /// No flaw: the checker must report nothing.
     None,
-    /// What is persisted is lost at a kill, as if it had never been synced.
+    /// Persisted data is lost when the process is killed, as if it had never been synced.
     UnsyncedVotes,
-    /// A wiped machine claims to be what it was.
+    /// A wiped machine claims its former identity.
     ReusedIdentity,
-    /// Whoever is asked whether a view is current is believed to have said yes.
+    /// Every request to confirm that a view is current counts as confirmed.
     UncheckedReads,
-    /// A write counts as acknowledged once the head has it.
+    /// A write counts as acknowledged once the head has stored it.
     HeadAcknowledges,
-    /// All lives of a process call themselves alike, as when numbers were told without a life.
+    /// All incarnations of a process use the same id, as if messages carried no incarnation.
     SharedIncarnation,
 }
 
 const TICK_MS: u64 = 25;
 const DETECTION_MS: u64 = 1200;
-/// A connection in the making holds messages for up to this long, in ms.
+/// Maximum delay in ms of a message that waits for a connection to be established.
 const MAX_DELAY: u32 = 1200;
-/// After its return a machine still counts as lost for this long, in ms.
+/// Time in ms for which a returned machine still counts as lost.
 pub const CATCH_UP: u64 = 4000;
 
 struct Machine {
@@ -48,13 +48,13 @@
     frozen_until: u64,
     down_until: Option<u64>,
     cut_until: u64,
-    /// Until then nothing reaches the machine, though what it sends goes out.
+    /// End of the time in which the machine receives nothing, although it can send.
     inbound_blocked_until: u64,
     lost_until: u64,
     is_gone: bool,
-    /// Whether its disk was lost and the machines have not all been in touch for long enough since.
+    /// Whether its disk was lost and not all machines have been connected for long enough since then.
     is_disk_lost: bool,
-    /// The number of the newest operation that this life of its process was handed.
+    /// Number of the newest operation submitted to this incarnation of its process.
     last_number: u64,
 }
 
@@ -67,7 +67,7 @@
     index: usize,
 }
 
-/// A change that the operator sent.
+/// A change sent by the operator.
 #[derive(Debug, Clone)]
 pub struct Change {
     pub base: u64,
@@ -97,13 +97,13 @@
     next_machine: u8,
     next_incarnation: Incarnation,
     next_disk: u64,
-    /// Machines of the one half, and until when they are cut from the other.
+    /// The machines of one half, and the end of their partition from the other half.
     split: (BTreeSet<Ipv4Addr>, u64),
-    /// Since when all machines have been up and in touch.
+    /// Since when all machines have been up and connected.
     connected_since: u64,
     pending_requests: BTreeMap<(Ipv4Addr, u64), Request>,
     pub changes: Vec<Change>,
-    /// States by sequence that some machine has told as committed.
+    /// Revision by sequence, for each state that any machine reported as committed.
     committed: BTreeMap<u64, u64>,
     pub violations: Vec<String>,
     pub reads: usize,
@@ -113,12 +113,12 @@
 }
 
 impl ControlSimulation {
-    /// `count` machines, each in a zone of its own, of which the first three (or fewer) are the seeds.
+    /// Creates `count` machines, each in its own zone; the first three (or fewer) are the seeds.
     pub fn new(count: u8, tolerated: usize, seed: u64, flaw: Flaw) -> ControlSimulation {
         ControlSimulation::zoned(count, u8::MAX, Tolerance::of_machines(tolerated), seed, flaw)
     }
 
-    /// `count` machines that stand in `zones` zones by turns; the first three (or fewer) are the seeds.
+    /// Creates `count` machines, assigned to `zones` zones in turn; the first three (or fewer) are the seeds.
     pub fn zoned(count: u8, zones: u8, tolerance: Tolerance, seed: u64, flaw: Flaw) -> ControlSimulation {
         let seeds: Vec<Ipv4Addr> = (1..=count.min(3)).map(address).collect();
         let mut simulation = ControlSimulation {
@@ -187,12 +187,12 @@
         Controller::new(ip, disk, self.tolerance, self.incarnation(), now).with_location(self.location(ip))
     }
 
-    /// Where a machine stands.
+    /// Zone and region of a machine.
     pub fn location(&self, ip: Ipv4Addr) -> Place {
         place("r", &format!("z{}", ip.octets()[3] % self.zones))
     }
 
-    /// The machines of the zone that `ip` stands in.
+    /// The machines in the zone of `ip`, including `ip`.
     pub fn machines_in_zone(&self, ip: Ipv4Addr) -> Vec<Ipv4Addr> {
         self.present().into_iter().filter(|other| self.location(*other) == self.location(ip)).collect()
     }
@@ -201,7 +201,7 @@
         self.rng.next_u32() % sides
     }
 
-    /// Machines that count as lost now.
+    /// Number of machines that count as lost now.
     pub fn lost(&self) -> usize {
         let is_lost = |machine: &&Machine| {
             machine.lost_until > self.now || machine.down_until.is_some() || machine.cut_until > self.now
@@ -218,18 +218,18 @@
         present[self.random_below(present.len() as u32) as usize]
     }
 
-    /// The machine at the head, if one thinks that it is.
+    /// A machine that considers itself the head, if there is one.
     pub fn head(&self) -> Option<Ipv4Addr> {
         let is_head = |machine: &Machine| machine.controller.as_ref().is_some_and(Controller::is_head);
         self.machines.iter().find(|(_, machine)| is_head(machine)).map(|(ip, _)| *ip)
     }
 
-    /// Messages that were sent so far.
+    /// Number of messages sent so far.
     pub fn messages_sent(&self) -> usize {
         self.messages.len()
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time.
     pub fn run(&mut self, for_ms: u64) {
         let end = self.now + for_ms;
         while self.now < end {
@@ -293,7 +293,7 @@
         }
     }
 
-    /// A failure detector that knows after a while.
+    /// Failure detector with a detection delay.
     fn live(&self, own: Ipv4Addr) -> Vec<(ElectorId, Place)> {
         let own_cut = self.machines.get(&own).is_some_and(|machine| machine.cut_until > self.now);
         let is_live = |(ip, machine): &(&Ipv4Addr, &Machine)| {
@@ -348,7 +348,7 @@
         let is_made = is_in_view && machine.disk.state.apply(write);
         if !is_made && self.flaw == Flaw::None {
             self.violations
-                .push(format!("{}: a write that does not follow what {ip} has on its disk", self.now));
+                .push(format!("{}: a write that is not based on the state on the disk of {ip}", self.now));
         }
     }
 
@@ -360,7 +360,7 @@
                 let forged =
                     Message::Confirmed { from: id, view: *view, incarnation: *incarnation, nonce: *nonce };
                 self.queue(to, from, forged, 1);
-                // Forged by the world, so it comes even through a cut.
+                // Forged by the simulation, so it arrives even through a partition.
                 return;
             }
             (Message::Apply { view, written }, Flaw::HeadAcknowledges) => {
--- a/crates/onyxstile-system/tests/support/control_simulation/faults.rs
+++ b/crates/onyxstile-system/tests/support/control_simulation/faults.rs
@@ -1,4 +1,4 @@
-//! What happens to machines and links.
+//! Faults of machines and links.
 
 use super::*;
 
@@ -11,7 +11,7 @@
         }
         machine.down_until = Some(until);
         machine.lost_until = until + CATCH_UP;
-        // What a process knows of its callers ends with it, and the next one counts from the start.
+        // A process loses its pending requests when it ends, and the next one numbers its operations from the start.
         machine.last_number = 0;
         self.pending_requests.retain(|(pending_requests, _), _| *pending_requests != ip);
     }
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Nothing reaches a machine, what it sends goes out.
+    /// Blocks everything sent to a machine; what it sends still goes out.
     pub fn block_inbound(&mut self, ip: Ipv4Addr, for_ms: u64) {
         let until = self.now + for_ms;
         if let Some(machine) = self.machines.get_mut(&ip) {
@@ -62,19 +62,19 @@
         }
     }
 
-    /// Cuts the machines into two halves.
+    /// Partitions the machines into two halves.
     pub fn split(&mut self, for_ms: u64) {
         let present = self.present();
         let half = present.into_iter().filter(|_| self.rng.next_u32().is_multiple_of(2)).collect();
         self.split = (half, self.now + for_ms);
     }
 
-    /// Disks that were lost and count as such.
+    /// Number of disks that count as lost.
     pub fn disks_lost(&self) -> usize {
         self.machines.values().filter(|machine| machine.is_disk_lost).count()
     }
 
-    /// Ends all that lasts: what is down starts within `for_ms`, cuts heal, what is frozen wakes.
+    /// Ends all faults: stopped machines start within `for_ms`, partitions heal, frozen machines resume.
     pub fn heal(&mut self, for_ms: u64) {
         let now = self.now;
         self.split.1 = now;
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Disks count as lost until all machines have been up and in touch for the time that a return takes.
+    /// Disks count as lost until all machines have been up and connected for the time that recovery takes.
     pub(super) fn update_lost_disks(&mut self) {
         let now = self.now;
         let is_in_touch = |machine: &Machine| {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// One machine is gone for good; an empty one comes at another address.
+    /// Removes a machine permanently; an empty one joins at another address.
     pub fn replace(&mut self, ip: Ipv4Addr) {
         if let Some(machine) = self.machines.get_mut(&ip) {
             machine.controller = None;
--- a/crates/onyxstile-system/tests/support/control_simulation/operators.rs
+++ b/crates/onyxstile-system/tests/support/control_simulation/operators.rs
@@ -1,9 +1,9 @@
-//! Operators, what they are told, and the checks of it.
+//! Operator requests, their outcomes, and the checks of both.
 
 use super::*;
 
 impl ControlSimulation {
-    /// The operator sends a change built on `base` to a machine.
+    /// The operator sends a machine a change based on `base`.
     pub fn put(&mut self, to: Ipv4Addr, base: u64, revision: u64) -> usize {
         let unique = self.changes.len();
         let body = format!("{{\"revision\":{revision},\"note\":{unique},\"routes\":[],\"services\":[]}}");
@@ -13,7 +13,7 @@
         unique
     }
 
-    /// The operator sends a change again, unchanged.
+    /// The operator repeats a change, unchanged.
     pub fn resend_change(&mut self, to: Ipv4Addr, change: usize) {
         let Change { base, body, .. } = self.changes[change].clone();
         self.submit_request(
@@ -85,15 +85,20 @@
             .max()
             .unwrap_or(0);
         if revision < acknowledged {
-            self.violations
-                .push(format!("{}: a read gave {revision}, {acknowledged} was acknowledged", self.now));
+            self.violations.push(format!(
+                "{}: a read returned {revision} after {acknowledged} was acknowledged",
+                self.now
+            ));
         }
         if let Some(body) = body {
             let sent = self.changes.iter().position(|change| change.body.as_slice() == body);
             match sent {
-                None => self.violations.push(format!("{}: a read gave what nobody sent", self.now)),
+                None => self
+                    .violations
+                    .push(format!("{}: a read returned a configuration that was never sent", self.now)),
                 Some(change) if self.changes[change].is_refused => {
-                    self.violations.push(format!("{}: change {change} is in force though refused", self.now));
+                    self.violations
+                        .push(format!("{}: change {change} is in force although it was refused", self.now));
                 }
                 Some(_) => {}
             }
@@ -101,7 +106,7 @@
         self.newest_read = self.newest_read.max(revision);
     }
 
-    /// What machines tell relays as committed never differs under one sequence.
+    /// Checks that machines never report different committed states for one sequence.
     pub(super) fn check_committed(&mut self) {
         let mut seen = BTreeSet::new();
         for machine in self.machines.values() {
@@ -115,17 +120,17 @@
             if held != revision {
                 let now = self.now;
                 self.violations
-                    .push(format!("{now}: sequence {sequence} is {held} here and {revision} there"));
+                    .push(format!("{now}: sequence {sequence} has revisions {held} and {revision}"));
             }
         }
     }
 
-    /// The newest revision that some relay may have been told of.
+    /// The newest revision that any relay may have received.
     pub fn newest_committed(&self) -> u64 {
         self.committed.values().copied().max().unwrap_or(0)
     }
 
-    /// How far each machine is, for the report of a failed history.
+    /// Describes the state of each machine, for the report of a failed history.
     pub fn describe(&self) -> String {
         let describe = |(ip, machine): (&Ipv4Addr, &Machine)| {
             let view = machine.disk.view.as_ref().map(|view| {
@@ -157,7 +162,7 @@
         self.machines.iter().map(describe).collect::<Vec<_>>().join("\n")
     }
 
-    /// Whether a change sent now to any machine is acknowledged within `for_ms`.
+    /// Whether a change sent to any machine from now on is acknowledged within `for_ms`.
     pub fn serves_within(&mut self, for_ms: u64) -> bool {
         let end = self.now + for_ms;
         while self.now < end {
