--- a/crates/onyxstile-system/src/controller.rs
+++ b/crates/onyxstile-system/src/controller.rs
@@ -34,7 +34,7 @@
 use crate::control::{
     ControlState, Durable, ElectorId, Incarnation, Message, Operation, Outcome, Token, Write,
 };
-use crate::tolerance::{Place, Tolerance};
+use crate::tolerance::{Location, Tolerance};
 
 /// Interval after which an unacknowledged write is sent to the successor again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(150);
@@ -126,7 +126,7 @@
     }
 
     /// Sets the zone and region of this machine.
-    pub fn with_location(mut self, location: Place) -> Controller {
+    pub fn with_location(mut self, location: Location) -> Controller {
         self.locations.insert(self.id.ip, location);
         self
     }
--- a/crates/onyxstile-system/src/controller/events.rs
+++ b/crates/onyxstile-system/src/controller/events.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use crate::control::{Durable, ElectorId, Message, Operation, Outcome, Write};
-use crate::tolerance::Place;
+use crate::tolerance::Location;
 
 /// An input of a controller.
 #[derive(Debug, Clone)]
@@ -24,7 +24,7 @@
         operation: Operation,
     },
     /// Core machines that membership considers alive, without this one, with their zone and region.
-    Live(Vec<(ElectorId, Place)>),
+    Live(Vec<(ElectorId, Location)>),
     /// Names of storage machines that membership considers dead or does not know.
     DeadStorage(Vec<String>),
     /// Periodic timer.
--- a/crates/onyxstile-system/src/controller/membership.rs
+++ b/crates/onyxstile-system/src/controller/membership.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 
 use crate::control::{ElectorId, View};
-use crate::tolerance::{Place, Tolerance};
+use crate::tolerance::{Location, Tolerance};
 
 /// Zone and region of every core machine seen so far; a machine without an entry counts as belonging to an unnamed zone
 /// and region.
-pub type Locations = BTreeMap<[u8; 4], Place>;
+pub type Locations = BTreeMap<[u8; 4], Location>;
 
 /// Returns the electors and the chain of the next view, or `None` if the view needs no change or too few machines are
 /// alive.
@@ -61,8 +61,8 @@
 }
 
 fn keeps_majority(electors: &[ElectorId], tolerance: Tolerance, locations: &Locations) -> bool {
-    let unknown = Place::default();
-    let elector_locations: Vec<&Place> =
+    let unknown = Location::default();
+    let elector_locations: Vec<&Location> =
         electors.iter().map(|id| locations.get(&id.ip).unwrap_or(&unknown)).collect();
     tolerance.keeps_majority(&elector_locations)
 }
@@ -70,7 +70,7 @@
 /// Index of the last elector in the zone with the most electors; where the loss of regions must be tolerated, the
 /// region with the most electors comes first.
 fn index_in_largest_domain(electors: &[ElectorId], tolerance: Tolerance, locations: &Locations) -> usize {
-    let unknown = Place::default();
+    let unknown = Location::default();
     let location = |id: &ElectorId| locations.get(&id.ip).unwrap_or(&unknown);
     let domain_sizes = |id: &ElectorId| {
         let here = location(id);
--- a/crates/onyxstile-system/src/role/proxy/call_sender.rs
+++ b/crates/onyxstile-system/src/role/proxy/call_sender.rs
@@ -154,7 +154,7 @@
             let fires = match &self.destination_call {
                 // An endpoint's wait holds sends there; other endpoints of the service may take the call meanwhile.
                 Some(destination_call) if matches!(destination_call.key, DestinationKey::Service(_)) => {
-                    destination_call.fires_at(due)
+                    destination_call.fire_time(due)
                 }
                 _ => due,
             };
--- a/crates/onyxstile-system/src/role/proxy/target.rs
+++ b/crates/onyxstile-system/src/role/proxy/target.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::call_sender::CallSender;
-use crate::balance::{EndpointKey, Need};
+use crate::balance::{CallRequirements, EndpointKey};
 
 /// A call that may be repeated is given up at an endpoint after this many times the usual latency there.
 const SILENCE_FACTOR: f64 = 5.0;
@@ -15,7 +15,7 @@
         let attempts_used_up = self.attempted.len() >= self.call.route.max_attempts as usize;
         let only = attempts_used_up.then_some(self.attempted.as_slice());
         let program = self.call.turn.as_ref().map(|turn| turn.program.as_str());
-        let mut need = Need {
+        let mut requirements = CallRequirements {
             service: &self.call.service,
             parts: &self.call.parts,
             program,
@@ -25,9 +25,9 @@
         };
         let endpoints = proxy.endpoints.borrow();
         let (now, fraction) = (proxy.clock.now(), proxy.random_fraction());
-        endpoints.choose(now, &need, fraction).or_else(|| {
-            need.excluded = &[];
-            endpoints.choose(now, &need, fraction)
+        endpoints.choose(now, &requirements, fraction).or_else(|| {
+            requirements.excluded = &[];
+            endpoints.choose(now, &requirements, fraction)
         })
     }
 
--- a/crates/onyxstile-system/tests/support/tier_simulation/requests.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation/requests.rs
@@ -9,9 +9,9 @@
     /// To find one; whether it was kept when the question was asked.
     Find(String, bool),
     /// To let a turn of a program run.
-    Claim { program: String, entry: Entry },
+    Claim { program: String, entry: ClaimEntry },
     /// To settle a claim.
-    Settle { program: String, entry: Entry },
+    Settle { program: String, entry: ClaimEntry },
 }
 
 impl QuorumRequest {
@@ -20,7 +20,7 @@
             QuorumRequest::Keep(id) => Some(Record::Turn(turn(id))),
             QuorumRequest::Find(..) => None,
             QuorumRequest::Claim { program, entry } | QuorumRequest::Settle { program, entry } => {
-                Some(Record::Entry { program: program.clone(), entry: entry.clone() })
+                Some(Record::ClaimEntry { program: program.clone(), entry: entry.clone() })
             }
         }
     }
@@ -43,7 +43,7 @@
     arriving: Vec<(u64, Ipv4Addr)>,
     written: Vec<(u64, Ipv4Addr, u64)>,
     summaries: Vec<ClaimSummary>,
-    claims: Vec<Entry>,
+    claims: Vec<ClaimEntry>,
 }
 
 impl TierSimulation {
@@ -96,9 +96,9 @@
     pub fn claim_turn(&mut self) {
         self.last_turn += 1;
         let program = format!("p{}", self.last_turn / 60);
-        let entry = Entry {
+        let entry = ClaimEntry {
             request: format!("r{}", self.last_turn),
-            most: 1 + u64::from(self.random_below(100)),
+            max_tokens: 1 + u64::from(self.random_below(100)),
             settled: None,
         };
         self.start_request(QuorumRequest::Claim { program, entry });
@@ -126,7 +126,7 @@
                 return false;
             } else {
                 let at = now + u64::from(self.random_below(4)) * STEP;
-                pending.written.push((at, ip, self.stores[&ip].origin()));
+                pending.written.push((at, ip, self.stores[&ip].incarnation()));
             }
         }
         let (due, written) = pending.written.iter().copied().partition(|(at, _, _)| *at <= now);
@@ -139,7 +139,7 @@
     pub(super) fn answer(&mut self, pending: &mut PendingRequest, ip: Ipv4Addr, incarnation: u64) -> bool {
         let now = self.now();
         let Some(store) =
-            self.stores.get_mut(&ip).filter(|store| store.is_up(now) && store.origin() == incarnation)
+            self.stores.get_mut(&ip).filter(|store| store.is_up(now) && store.incarnation() == incarnation)
         else {
             pending.arriving.push((now + 125, ip));
             return true;
@@ -147,9 +147,9 @@
         if let Some(record) = pending.request.record() {
             store.write(now, &record);
         }
-        let (is_newer, dark) = (store.epoch() > pending.epoch, store.dark_until > now);
+        let (is_newer, dark) = (store.epoch() > pending.epoch, store.isolated_until > now);
         // By an older plan the turn may be looked for where it was never written.
-        let is_whole = store.is_whole() && !is_newer;
+        let is_whole = store.is_complete() && !is_newer;
         if self.refuses_epoch(pending, ip) {
             return false;
         }
@@ -209,12 +209,14 @@
                 self.stored_turns.insert(id.clone());
             }
             QuorumRequest::Claim { program, entry } => {
-                let fits = match admit(BUDGET, &entry.request, entry.most, &pending.summaries) {
-                    Admission::Fits => true,
-                    Admission::Spent => false,
-                    Admission::Unsure => fits(BUDGET, &entry.request, entry.most, &pending.claims),
+                let fits = match admit(BUDGET, &entry.request, entry.max_tokens, &pending.summaries) {
+                    BudgetDecision::Fits => true,
+                    BudgetDecision::Exhausted => false,
+                    BudgetDecision::Inconclusive => {
+                        fits_budget(BUDGET, &entry.request, entry.max_tokens, &pending.claims)
+                    }
                 };
-                let tokens = if fits { u64::from(self.random_below(entry.most as u32 + 1)) } else { 0 };
+                let tokens = if fits { u64::from(self.random_below(entry.max_tokens as u32 + 1)) } else { 0 };
                 *self.received.entry(program.clone()).or_default() += tokens;
                 let total = self.received[program];
                 if total > BUDGET {
@@ -224,7 +226,7 @@
                 self.count_event(if fits { "turns let in" } else { "turns refused by their budget" });
                 // A relay that dies leaves its claim as it is.
                 if self.random_below(8) > 0 {
-                    let entry = Entry { settled: Some(tokens), ..entry.clone() };
+                    let entry = ClaimEntry { settled: Some(tokens), ..entry.clone() };
                     let program = program.clone();
                     self.start_request(QuorumRequest::Settle { program, entry });
                 }
