--- a/crates/onyxstile-system/src/registry.rs
+++ b/crates/onyxstile-system/src/registry.rs
@@ -97,7 +97,7 @@
         }
         let is_newer = instance.sequence > current.sequence;
         let is_repeated = !is_newer && !source.overrides(entry.source);
-        let source = source.merged(entry.source, is_newer);
+        let source = source.after_merge(entry.source, is_newer);
         let stage = instance.stage.max(current.stage);
         let sequence = instance.sequence.max(current.sequence);
         let content = if is_repeated { current.clone() } else { instance };
--- a/crates/onyxstile-system/src/registry/entry.rs
+++ b/crates/onyxstile-system/src/registry/entry.rs
@@ -31,7 +31,7 @@
     }
 
     /// The source of an entry after a record of this source has been merged into it.
-    pub(super) fn merged(self, current: Source, is_newer: bool) -> Source {
+    pub(super) fn after_merge(self, current: Source, is_newer: bool) -> Source {
         match (self, current) {
             // The heartbeat was received elsewhere after this controller's last one, and no owner is known now.
             (Source::Unowned, Source::Local) if is_newer => Source::Unowned,
--- a/crates/onyxstile-system/tests/control_model.rs
+++ b/crates/onyxstile-system/tests/control_model.rs
@@ -90,7 +90,7 @@
     address(machine as u8 + 1)
 }
 
-fn place(machine: usize) -> Location {
+fn location(machine: usize) -> Location {
     support::place("r", &format!("z{machine}"))
 }
 
@@ -134,7 +134,7 @@
     fn live(&self, own: usize) -> Vec<(ElectorId, Location)> {
         let is_live = |machine: &usize| *machine != own && self.suspected != Some(*machine);
         let id = |machine: usize| ElectorId { ip: ip(machine).octets(), disk: self.disks[machine].disk };
-        (0..MACHINES).filter(is_live).map(|machine| (id(machine), place(machine))).collect()
+        (0..MACHINES).filter(is_live).map(|machine| (id(machine), location(machine))).collect()
     }
 
     /// Messages in transit to the machine are lost with its connections.
@@ -232,7 +232,7 @@
 /// search, and no guarantee depends on it.
 fn boot(machine: usize, disk: &Durable, incarnation: Incarnation) -> Controller {
     Controller::new(ip(machine), disk.clone(), ONE, incarnation, Instant::default())
-        .with_location(place(machine))
+        .with_location(location(machine))
 }
 
 impl Model for State {
