--- a/crates/onyxstile-system/src/configuration.rs
+++ b/crates/onyxstile-system/src/configuration.rs
@@ -1,7 +1,7 @@
-//! The operator's configuration: routes, services and limits, read and checked whole.
+//! The operator's configuration: routes, services and limits, parsed and validated as a unit.
 //!
-//! The same reading serves the controllers (which refuse what is invalid) and the proxies (which act on it), so that
-//! nothing can be acknowledged that a proxy would read otherwise.
+//! Controllers, which reject invalid configurations, and proxies, which apply them, share this parser, so that nothing is
+//! acknowledged that a proxy would interpret differently.
 
 mod read;
 
@@ -14,25 +14,25 @@
 use crate::balance::ConnectionLimit;
 use crate::json::JsonError;
 
-/// A version number of the operator's.
+/// Version number of a configuration, assigned by the operator.
 pub type Revision = u64;
 
 quick_error! {
     /// Why a configuration is invalid.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ConfigurationError {
-        /// It is no JSON, or a field is missing or of another type.
+        /// The body is not JSON, or a field is missing or has the wrong type.
         Json(error: JsonError) {
             from()
             display("{}", error)
         }
-        /// The body is not text.
+        /// The body is not UTF-8.
         NotText {
             display("the body is not UTF-8")
         }
-        /// A route names a service that the configuration lacks.
+        /// A route refers to a service that is not in the configuration.
         UnknownService(route: String, service: String) {
-            display("route {} names the unknown service {}", route, service)
+            display("route {} refers to the unknown service {}", route, service)
         }
         /// Two routes have the same host and prefix.
         DuplicateRoute(first: String, second: String) {
@@ -40,13 +40,13 @@
         }
         /// Two services have the same name.
         DuplicateService(name: String) {
-            display("service {} stands twice", name)
+            display("service {} is defined twice", name)
         }
         /// The weights of a route's split sum to 0.
         NoWeight(route: String) {
             display("the weights of route {} sum to 0", route)
         }
-        /// A route's time-out is 0.
+        /// The timeout of a route is 0.
         NoTimeout(route: String) {
             display("the timeout_ms of route {} is 0", route)
         }
@@ -54,63 +54,63 @@
         Prefix(route: String, prefix: String) {
             display("the prefix {} of route {} does not begin and end with a slash", prefix, route)
         }
-        /// A route's type is none of the known ones.
+        /// The type of a route is unknown.
         RouteType(route: String, name: String) {
             display("route {} has the unknown type {}", route, name)
         }
-        /// The revision is not above the current one.
+        /// The revision is not greater than the current one.
         OldRevision(revision: Revision, current: Revision) {
-            display("revision {} is not above the current {}", revision, current)
+            display("revision {} is not greater than the current revision {}", revision, current)
         }
     }
 }
 
-/// What may be repeated on a route.
+/// How often requests of a route may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteType {
-    /// May run more than once.
+    /// Requests may be executed more than once.
     Idempotent,
-    /// Runs once at most.
+    /// Requests are executed at most once.
     NonIdempotent,
-    /// A stream of events, which runs once at most unless the route is resumable.
+    /// A stream of events, executed at most once unless the route is resumable.
     Streaming,
 }
 
-/// Where the requests of one host and prefix go and how they are treated.
+/// Destination and handling of the requests for one host and path prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// The operator's name for it.
+    /// Name assigned by the operator.
     pub name: String,
-    /// The host, in lower case.
+    /// Host in lower case.
     pub host: String,
-    /// The prefix of the path, which begins and ends with a slash.
+    /// Path prefix, which begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// How often requests may be executed.
     pub route_type: RouteType,
-    /// Longest time that the operator wants a request held, in ms.
+    /// Maximum time that a request may be held, in ms.
     pub timeout_ms: u64,
-    /// The time within which an answer earns its full worth, in ms.
+    /// Latency target in ms: a response within this time has its full utility.
     pub target_latency_ms: u64,
-    /// The rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Services with their weights; one with weight 1 where the route isn't split.
+    /// Services with their weights: a single service with weight 1 if the route has no traffic split.
     pub split: Vec<(String, f64)>,
-    /// The largest number of endpoints to which one try may be sent.
+    /// Maximum number of endpoints that one client attempt may be sent to.
     pub max_attempts: u32,
-    /// Whether the system keeps the turns.
+    /// Whether the tier stores the turns.
     pub retained: bool,
-    /// How long a turn is kept, in seconds.
+    /// How long a turn is stored, in seconds.
     pub retention_s: f64,
-    /// Whether a session prefers the endpoint that served it last.
+    /// Whether a session prefers the endpoint that served it last (session affinity).
     pub session_affinity: bool,
-    /// Whether a stream may be taken up at another endpoint.
+    /// Whether a stream may be resumed at another endpoint.
     pub resumable: bool,
-    /// The longest pause between events that keeps an answer in time, in ms.
+    /// Target for the gap between events in ms: a response with longer gaps does not count as in time.
     pub target_gap_ms: u64,
 }
 
 impl Route {
-    /// Whether a request of this route may run more than once.
+    /// Whether a request of this route may be executed more than once.
     pub fn is_repeatable(&self) -> bool {
         match self.route_type {
             RouteType::Idempotent => true,
@@ -120,38 +120,38 @@
     }
 }
 
-/// What is known of a service's model endpoints.
+/// Properties of the model endpoints of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Requests that one endpoint runs at once.
+    /// Number of requests that one endpoint executes concurrently.
     pub capacity: u64,
-    /// Tokens that one endpoint's memory holds.
+    /// Number of tokens that the memory of one endpoint holds.
     pub kv_capacity_tokens: u64,
-    /// Tokens in one event of a stream.
+    /// Number of tokens per stream event.
     pub chunk_size: u64,
 }
 
 /// A service that endpoints register for.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Connections that one endpoint takes from all callers together.
+    /// Maximum number of connections that one endpoint accepts from all callers together.
     pub max_connections: u64,
-    /// Its model endpoints, where it has any.
+    /// Properties of its model endpoints, if it has any.
     pub engine: Option<Engine>,
 }
 
-/// Bounds on what clients may send.
+/// Limits on client requests and connections.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClientLimits {
-    /// Most bytes of a request's head.
+    /// Maximum size of a request head in bytes.
     pub max_header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: usize,
-    /// Time for a request's head, in ms.
+    /// Timeout for receiving a request head, in ms.
     pub header_timeout_ms: u64,
-    /// Time that a connection may rest, in ms.
+    /// Maximum idle time of a connection, in ms.
     pub idle_timeout_ms: u64,
 }
 
@@ -166,21 +166,21 @@
     }
 }
 
-/// One whole, valid configuration.
+/// A complete, valid configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Configuration {
-    /// The operator's number for it.
+    /// Version number, assigned by the operator.
     pub revision: Revision,
-    /// Routes by host; the longest prefix first.
+    /// Routes by host, ordered by descending prefix length.
     pub routes: HashMap<String, Vec<std::rc::Rc<Route>>>,
     /// Services by name.
     pub services: HashMap<String, Service>,
-    /// Bounds for clients.
+    /// Client limits.
     pub limits: ClientLimits,
 }
 
 impl Configuration {
-    /// What the endpoints of each service take: all relays call model endpoints, for their prompts are read there.
+    /// Connection limits per service. Model endpoints are called by all relays, because prompts are processed there.
     pub fn connection_limits(&self) -> HashMap<String, ConnectionLimit> {
         let limit = |service: &Service| ConnectionLimit {
             connections: service.max_connections,
@@ -189,7 +189,7 @@
         self.services.iter().map(|(name, service)| (name.clone(), limit(service))).collect()
     }
 
-    /// The route of a request: of the routes of its host, the one with the longest prefix that begins the path.
+    /// Finds the route of a request: among the routes of its host, the one with the longest prefix that matches the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&std::rc::Rc<Route>> {
         let lower;
         let host = if host.bytes().any(|byte| byte.is_ascii_uppercase()) {
--- a/crates/onyxstile-system/src/configuration/read.rs
+++ b/crates/onyxstile-system/src/configuration/read.rs
@@ -1,4 +1,4 @@
-//! Reading and checking of a configuration's JSON.
+//! Parsing and validation of the configuration JSON.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -6,12 +6,12 @@
 use super::{ClientLimits, Configuration, ConfigurationError, Engine, Route, RouteType, Service};
 use crate::json::{self, Object};
 
-/// Endpoints that one try may be sent to where a route does not say.
+/// Default for the maximum number of endpoints that one client attempt may be sent to.
 const DEFAULT_ATTEMPTS: u64 = 3;
-/// The lowest rank that an endpoint knows.
+/// Numerically largest, and therefore lowest, priority that endpoints support.
 const LOWEST_PRIORITY: u64 = 9;
 
-/// Reads a configuration whole and checks all that can be checked without the current one.
+/// Parses a complete configuration and makes all checks that do not depend on the current configuration.
 pub fn parse(body: &[u8]) -> Result<Configuration, ConfigurationError> {
     let text = std::str::from_utf8(body).map_err(|_| ConfigurationError::NotText)?;
     let value = json::parse(text)?;
--- a/crates/onyxstile-system/src/disk.rs
+++ b/crates/onyxstile-system/src/disk.rs
@@ -1,8 +1,10 @@
-//! Files: versions of one record, and a log of records, both on a folder that may lose what was not synced.
+//! Durable storage in files: versioned records and an append-only record log. Data that has not been synced may be lost
+//! when power fails.
 //!
-//! [`Versions`] keeps one file a version, written aside, synced and renamed, on the trait [`Folder`], whose contract a
-//! simulated folder with losses of power has to pass as well. [`ControlRecord`] adds a file a write. [`RecordLog`] keeps
-//! many records on `onyxstile-store`.
+//! [`Versions`] stores each version of a record in its own file, which is written under a temporary name, synced and
+//! renamed. It works on the [`Folder`] trait, so that the same contract tests run on the file system and on a simulated
+//! folder with power failures. [`ControlRecord`] adds one file per write. [`RecordLog`] stores many records in
+//! `onyxstile-store`.
 
 mod control_record;
 mod folder;
@@ -16,14 +18,15 @@
 pub use record_log::{OpenedLog, RECORD_MAX, RecordLog};
 pub use versions::Versions;
 
-/// Frames bytes with length and CRC-32.
+/// Appends a frame to `out`: length, CRC-32, then the bytes.
 fn write_frame(bytes: &[u8], out: &mut Vec<u8>) {
     out.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
     out.extend_from_slice(&crc32fast::hash(bytes).to_le_bytes());
     out.extend_from_slice(bytes);
 }
 
-/// The first framed bytes and what follows them; `None` if they are torn. A frame is never empty: a file of zeros would be one.
+/// Returns the body of the first frame and the bytes after it, or `None` if the frame is truncated or corrupt. Empty
+/// frames are rejected: a file of zeros would otherwise be a valid one.
 fn read_frame(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     let length = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
     let checksum = u32::from_le_bytes(bytes.get(4..8)?.try_into().ok()?);
--- a/crates/onyxstile-system/src/disk/control_record.rs
+++ b/crates/onyxstile-system/src/disk/control_record.rs
@@ -1,8 +1,10 @@
-//! What a controller has on its disk: a snapshot of all of it, a file a version, and after it a file for each write to the
-//! control state, so that a write costs what it changes and not what the state holds.
+//! The durable state of a controller: a snapshot of the complete state, with one file per version, followed by one file
+//! for each write to the control state. The cost of a write therefore depends on the size of the change and not on the
+//! size of the state.
 //!
-//! A write's file is never written twice under one name: a name that was removed may come back with a loss of power. It says
-//! itself which view and which state it belongs to; whatever does not follow the newest snapshot is of the past.
+//! A file name is never reused for another write, because a removed name can reappear after a power failure. Each file
+//! records the view and the sequence that its write belongs to; a write that does not follow the newest snapshot is
+//! obsolete.
 
 use std::io;
 use std::rc::Rc;
@@ -12,16 +14,16 @@
 use super::{Folder, Versions, decode, encode, read_frame, write_frame};
 use crate::control::{Ballot, ControlState, Durable, View, Write};
 
-/// The name of the snapshots.
+/// File name prefix of snapshots.
 const SNAPSHOT_NAME: &str = "version";
-/// What the names of writes begin with.
+/// File name prefix of writes.
 const WRITE_PREFIX: &str = "write-";
-/// Writes are folded into a snapshot once they take half of what it takes, and at least this many bytes.
+/// A snapshot is due once the writes since the last one take half of its size, and at least this many bytes.
 const SNAPSHOT_MIN_BYTES: usize = 64 * 1024;
-/// So many writes are folded in any case: each is a file.
+/// A snapshot is due after this many writes in any case, since each write is a file.
 const SNAPSHOT_MAX_WRITES: usize = 256;
 
-/// A snapshot. The state is left out where it is the one that the view begins with.
+/// A snapshot. `state` is omitted if it equals the initial state of the view.
 #[derive(BorshSerialize, BorshDeserialize)]
 struct Snapshot {
     disk: u64,
@@ -55,14 +57,14 @@
     }
 }
 
-/// One write in its file.
+/// The content of a write's file.
 #[derive(BorshSerialize, BorshDeserialize)]
 struct LogEntry {
     view: u64,
     write: Write,
 }
 
-/// The files of one controller.
+/// The durable files of one controller.
 pub struct ControlRecord<F> {
     versions: Versions<F>,
     folder: F,
@@ -74,8 +76,11 @@
 }
 
 impl<F: Folder> ControlRecord<F> {
-    /// Opens the files of a folder, which `snapshots` and `folder` both name; what they hold, if anything. A snapshot that can't
-    /// be read is an error that names its file: an older one would lack votes that were cast.
+    /// Opens the files of a folder and returns the stored state, if there is any. `snapshots` and `folder` must refer to
+    /// the same folder.
+    ///
+    /// A snapshot that cannot be read is an error that names its file. Falling back to an older snapshot could lose votes
+    /// that were already cast.
     pub fn open(snapshots: F, folder: F) -> io::Result<(ControlRecord<F>, Option<Durable>)> {
         let (versions, stored) = Versions::open(snapshots, SNAPSHOT_NAME)?;
         let snapshot_bytes = stored.as_ref().map_or(0, Vec::len);
@@ -89,7 +94,7 @@
             last_write: None,
         };
         let Some(bytes) = stored else {
-            // Writes without a snapshot are what a crash left of one that was being discarded: they follow nothing.
+            // Writes without a snapshot remain if the process crashes while it discards a record. They follow no state.
             if !record.writes()?.is_empty() {
                 ControlRecord::discard(&mut record.folder)?;
             }
@@ -104,7 +109,7 @@
         Ok((record, Some(durable)))
     }
 
-    /// Removes what can't be read; the disk is then as if it had been empty.
+    /// Removes a record that cannot be read, which leaves the same state as an empty disk.
     pub fn discard(folder: &mut F) -> io::Result<()> {
         for file in folder.list()?.iter().filter(|file| file.starts_with(WRITE_PREFIX)) {
             folder.remove(file)?;
@@ -112,7 +117,7 @@
         Versions::discard(folder, SNAPSHOT_NAME)
     }
 
-    /// Makes the writes that follow the snapshot, in their order.
+    /// Applies the writes that follow the snapshot, in sequence order.
     fn replay(&mut self, durable: &mut Durable) -> io::Result<()> {
         let view = durable.view.as_ref().map_or(0, |view| view.number);
         let mut entries = Vec::new();
@@ -121,7 +126,7 @@
             let bytes = self.folder.read(&file)?;
             self.log_entries += 1;
             self.log_bytes += bytes.len();
-            // A torn one was never acknowledged.
+            // A truncated write was never acknowledged.
             let found = read_frame(&bytes).and_then(|(body, _)| decode::<LogEntry>(body).ok());
             entries.extend(found.filter(|entry| entry.view == view));
         }
@@ -134,7 +139,7 @@
         Ok(())
     }
 
-    /// The newest of the writes that were found beside the snapshot when the files were opened.
+    /// The newest write that was replayed when the files were opened.
     pub fn last_recovered_write(&self) -> Option<Rc<Write>> {
         self.last_write.clone()
     }
@@ -144,7 +149,7 @@
         Ok(self.folder.list()?.into_iter().filter_map(|file| Some((number(&file)?, file))).collect())
     }
 
-    /// Writes a snapshot; once this returns it outlasts a loss of power.
+    /// Writes a snapshot, which is durable once this returns.
     pub fn save(&mut self, durable: &Durable) -> io::Result<()> {
         let bytes = encode(&Snapshot::of(durable));
         self.versions.write(&bytes)?;
@@ -158,7 +163,7 @@
         Ok(())
     }
 
-    /// Writes one write to the newest state in `view`; once this returns it outlasts a loss of power.
+    /// Appends a write to the newest state in `view`. The write is durable once this returns.
     pub fn append(&mut self, view: u64, write: &Write) -> io::Result<()> {
         let mut bytes = Vec::new();
         write_frame(&encode(&LogEntry { view, write: write.clone() }), &mut bytes);
@@ -170,7 +175,7 @@
         self.folder.sync(&file)
     }
 
-    /// Whether the writes since the snapshot are worth a new one.
+    /// Whether the writes since the last snapshot warrant a new one.
     pub fn is_snapshot_due(&self) -> bool {
         self.log_entries >= SNAPSHOT_MAX_WRITES
             || self.log_bytes >= SNAPSHOT_MIN_BYTES.max(self.snapshot_bytes / 2)
--- a/crates/onyxstile-system/src/disk/folder.rs
+++ b/crates/onyxstile-system/src/disk/folder.rs
@@ -1,36 +1,36 @@
-//! What is asked of a folder of files.
+//! The folder interface that the durable records are built on.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-/// A folder of files. A write lasts once its file was synced, a new file's name likewise; a renamed or removed name
-/// lasts once the folder was synced.
+/// A folder of files. Appended bytes, and the name of a new file, are durable once the file has been synced. Renames and
+/// removals are durable once the folder has been synced.
 pub trait Folder {
     /// Names of all files.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// A file's bytes.
+    /// Reads a complete file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Appends to a file, which is made if it isn't there.
+    /// Appends to a file and creates it if it does not exist.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Makes what was written to a file last.
+    /// Makes the bytes appended to a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Renames a file over another.
+    /// Renames a file and replaces the target if it exists.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes names that were renamed and removed last.
+    /// Makes renames and removals durable.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the file system. The file appended to last stays open.
+/// A folder of the file system. The file that was appended to last stays open.
 pub struct RealFolder {
     path: PathBuf,
     open: Option<(String, File)>,
 }
 
 impl RealFolder {
-    /// The folder at `path`, made if it isn't there.
+    /// Opens the folder at `path` and creates it if it does not exist.
     pub fn open(path: PathBuf) -> io::Result<RealFolder> {
         std::fs::create_dir_all(&path)?;
         Ok(RealFolder { path, open: None })
--- a/crates/onyxstile-system/src/disk/record_log.rs
+++ b/crates/onyxstile-system/src/disk/record_log.rs
@@ -1,15 +1,16 @@
-//! Records on a durable store, each under a number of its own that is never used for another one.
+//! A durable log of records. Each record has a number of its own, which is never reused.
 //!
-//! The store is `onyxstile-store`: a log of segments with an index in memory, compacted a slice at a time.
+//! It is backed by `onyxstile-store`: a segmented log with an index in memory and incremental compaction.
 
 use onyxstile_store::disk::Disk;
 use onyxstile_store::{Change, Error, Options, Store, Sync};
 
-/// Bytes of a segment, about. Each new one costs some syncs; the oldest is read and rewritten as a whole.
+/// Approximate size of a segment in bytes. Each new segment costs several syncs, and compaction reads and rewrites the
+/// oldest segment completely.
 const SEGMENT_BYTES: u64 = 8 * 1024 * 1024;
-/// Bytes of what stands beside a record in a commit, at least.
+/// Minimum overhead of a record in a commit, in bytes.
 const RECORD_OVERHEAD: usize = 64;
-/// Bytes of a record, at most: what a client may send in one body, and its answer.
+/// Largest record in bytes: the largest request body that a client may send, together with its response.
 pub const RECORD_MAX: usize = 7 * 1024 * 1024;
 
 /// A log of numbered records.
@@ -17,30 +18,30 @@
     store: Store<D, 0>,
     disk: D,
     options: Options,
-    /// Records that the disk refused to drop.
+    /// Records whose removal has not been written yet.
     pending_drops: Vec<u64>,
 }
 
-/// A log that was opened.
+/// The result of [`RecordLog::open`].
 pub struct OpenedLog<D: Disk> {
     /// The log.
     pub log: RecordLog<D>,
-    /// Whether all that was ever acknowledged is there. If it is not, that stays so until
-    /// [`RecordLog::accept_loss`] says that whoever uses the log knows it.
+    /// Whether every acknowledged record is present. A loss is reported at each start until [`RecordLog::accept_loss`] is
+    /// called.
     pub is_intact: bool,
 }
 
 impl<D: Disk + Clone> RecordLog<D> {
-    /// Opens the log in a folder that may hold `limit` bytes, and tells of each record in it.
+    /// Opens the log in a folder that may hold `limit` bytes and calls `visit` with each record.
     ///
-    /// An end that is torn is no loss: it is what a loss of power leaves of writes that were not acknowledged, for each
-    /// acknowledgement follows a sync of all before it.
+    /// A truncated end is not a loss. A power failure leaves it for writes that were not acknowledged, since each
+    /// acknowledgement follows a sync of all earlier writes.
     pub fn open(disk: D, limit: u64, mut visit: impl FnMut(u64, &[u8])) -> Result<OpenedLog<D>, Error> {
         let options =
             Options { limit, segment: SEGMENT_BYTES, commit: SEGMENT_BYTES as usize, verify: false };
         let (mut store, _) = Store::open(disk.clone(), options)?;
         if store.scan(&mut visit).is_err() {
-            // Read whole, the log ends before the spoilt place, and what follows is set aside.
+            // With verification the log ends before the corrupt position, and what follows is set aside.
             (store, _) = Store::open(disk.clone(), Options { verify: true, ..options })?;
             store.scan(&mut visit)?;
         }
@@ -49,14 +50,14 @@
         Ok(OpenedLog { log, is_intact })
     }
 
-    /// Whoever uses the log has drawn the consequence from a loss, for good.
+    /// Acknowledges a loss permanently, once the caller has handled it.
     pub fn accept_loss(&mut self) -> Result<(), Error> {
         self.store.sync()?;
         self.store.accept_damage()?;
         self.store.remove_aside()
     }
 
-    /// Writes records; once this returns they outlast a loss of power. After an error some of them may be there.
+    /// Appends records, which are durable once this returns. After an error some of them may have been written.
     pub fn append(&mut self, records: Vec<(u64, Vec<u8>)>) -> Result<(), Error> {
         self.ensure_writable()?;
         let mut changes = Vec::with_capacity(records.len());
@@ -74,12 +75,13 @@
         self.store.commit(&changes, Sync::Lasting)
     }
 
-    /// What a record holds.
+    /// The content of a record.
     pub fn read(&self, number: u64) -> Result<Option<Vec<u8>>, Error> {
         self.store.get(number)
     }
 
-    /// Drops records. It is not waited for until that lasts; what the disk refuses now is dropped with the next ones.
+    /// Removes records without waiting until that is durable. Removals that the disk rejects are retried with the next
+    /// call.
     pub fn drop_records(&mut self, numbers: Vec<u64>) -> Result<(), Error> {
         self.pending_drops.extend(numbers);
         self.ensure_writable()?;
@@ -94,12 +96,12 @@
         Ok(())
     }
 
-    /// Bytes of all files.
+    /// Total size of all files in bytes.
     pub fn used_bytes(&self) -> u64 {
         self.store.used_bytes()
     }
 
-    /// After a sync that failed nobody knows what the disk holds, so it is looked at anew.
+    /// After a failed sync the content of the disk is undefined, so the store is opened again.
     fn ensure_writable(&mut self) -> Result<(), Error> {
         if !self.store.writes() {
             (self.store, _) = Store::open(self.disk.clone(), self.options)?;
--- a/crates/onyxstile-system/src/disk/versions.rs
+++ b/crates/onyxstile-system/src/disk/versions.rs
@@ -1,10 +1,11 @@
-//! One record, a file a version.
+//! A record with one file per version.
 
 use std::io;
 
 use super::{Folder, read_frame, write_frame};
 
-/// The versions of one record in a folder, which may hold those of others; the newest whole one counts.
+/// The versions of one record in a folder that may also hold other records. The newest well-formed version is the current
+/// one.
 pub struct Versions<F> {
     folder: F,
     name: &'static str,
@@ -12,8 +13,9 @@
 }
 
 impl<F: Folder> Versions<F> {
-    /// Opens the versions of the record called `name`; returns the newest, if there is any. One that is torn, short or
-    /// foreign is an error that names its file: it was synced before it got its name, and what an older one lacks was told.
+    /// Opens the versions of the record called `name` and returns the newest one, if there is any. If the newest file is
+    /// truncated, corrupt or foreign, the result is an error that names it: a file is synced before it gets its name, and
+    /// an older version lacks data that was already acknowledged.
     pub fn open(folder: F, name: &'static str) -> io::Result<(Versions<F>, Option<Vec<u8>>)> {
         let Some(newest) = folder.list()?.iter().filter_map(|file| number(name, file)).max() else {
             return Ok((Versions { folder, name, newest: 0 }, None));
@@ -21,14 +23,14 @@
         let file = file(name, newest);
         let bytes = folder.read(&file)?;
         let Some((body, _)) = read_frame(&bytes) else {
-            let reason = format!("{file} is torn or none of ours");
+            let reason = format!("{file} is truncated, corrupt or foreign");
             return Err(io::Error::new(io::ErrorKind::InvalidData, reason));
         };
         let body = body.to_vec();
         Ok((Versions { folder, name, newest }, Some(body)))
     }
 
-    /// Removes all versions of the record called `name`, for one that can't be read.
+    /// Removes all versions of the record called `name`, for a record that cannot be read.
     pub fn discard(folder: &mut F, name: &str) -> io::Result<()> {
         for file in folder.list()?.iter().filter(|file| number(name, file).is_some()) {
             folder.remove(file)?;
@@ -36,12 +38,12 @@
         folder.sync_folder()
     }
 
-    /// The name of the newest version's file.
+    /// File name of the newest version.
     pub fn newest_file(&self) -> String {
         file(self.name, self.newest)
     }
 
-    /// Writes a version; once this returns it outlasts a loss of power.
+    /// Writes a new version, which is durable once this returns.
     pub fn write(&mut self, body: &[u8]) -> io::Result<()> {
         let mut bytes = Vec::with_capacity(body.len() + 8);
         write_frame(body, &mut bytes);
--- a/crates/onyxstile-system/src/json.rs
+++ b/crates/onyxstile-system/src/json.rs
@@ -1,4 +1,4 @@
-//! Reading of JSON values by hand: each accessor names the field that is wrong.
+//! Typed access to JSON values. Errors name the invalid field.
 
 use std::collections::HashMap;
 
@@ -6,14 +6,14 @@
 use tinyjson::JsonValue;
 
 quick_error! {
-    /// Why a JSON text was not taken.
+    /// Why a JSON text was rejected.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum JsonError {
-        /// The text is no whole JSON value.
+        /// The text is not one complete JSON value.
         Syntax(line: usize, column: usize, reason: String) {
             display("line {}, column {}: {}", line, column, reason)
         }
-        /// Values are nested deeper than any that are read here.
+        /// Values are nested too deeply.
         Depth(max_depth: usize) {
             display("values are nested deeper than {}", max_depth)
         }
@@ -21,25 +21,24 @@
         Missing(field: String) {
             display("{} is missing", field)
         }
-        /// A field holds another type than it should.
+        /// A field has the wrong type.
         Type(field: String, expected: &'static str) {
             display("{} is not {}", field, expected)
         }
     }
 }
 
-/// A JSON object with the path that led to it.
+/// A JSON object with its path, which error messages use.
 #[derive(Debug, Clone)]
 pub struct Object<'a> {
     path: String,
     fields: &'a HashMap<String, JsonValue>,
 }
 
-/// The deepest nesting that is read. The parser calls itself for each level, so without a bound a text of brackets alone
-/// would use up the stack.
+/// Maximum nesting depth. The parser is recursive, so that without a limit a text of brackets could exhaust the stack.
 const DEPTH_MAX: usize = 64;
 
-/// Parses a text that must be one JSON value, whole.
+/// Parses a text that must be exactly one JSON value.
 pub fn parse(text: &str) -> Result<JsonValue, JsonError> {
     if exceeds_depth(text, DEPTH_MAX) {
         return Err(JsonError::Depth(DEPTH_MAX));
@@ -48,7 +47,7 @@
         .map_err(|error| JsonError::Syntax(error.line(), error.column(), error.to_string()))
 }
 
-/// Whether brackets outside of strings are nested deeper than `most`.
+/// Whether brackets outside of strings are nested deeper than `max_depth`.
 fn exceeds_depth(text: &str, max_depth: usize) -> bool {
     let mut depth = 0usize;
     let mut is_string = false;
@@ -70,7 +69,7 @@
 }
 
 impl<'a> Object<'a> {
-    /// The value as an object; `path` is for messages.
+    /// Interprets a value as an object; `path` is used in error messages.
     pub fn new(value: &'a JsonValue, path: &str) -> Result<Object<'a>, JsonError> {
         match value {
             JsonValue::Object(fields) => Ok(Object { path: path.to_owned(), fields }),
@@ -82,7 +81,7 @@
         if self.path.is_empty() { field.to_owned() } else { format!("{}.{}", self.path, field) }
     }
 
-    /// A field's value, if it is there and not null.
+    /// The value of a field, if it is present and not null.
     pub fn get(&self, field: &str) -> Option<&'a JsonValue> {
         self.fields.get(field).filter(|value| !matches!(value, JsonValue::Null))
     }
@@ -91,15 +90,15 @@
         self.get(field).ok_or_else(|| JsonError::Missing(self.name(field)))
     }
 
-    /// A text that must be there.
+    /// A required string.
     pub fn text(&self, field: &str) -> Result<&'a str, JsonError> {
         match self.require(field)? {
             JsonValue::String(text) => Ok(text),
-            _ => Err(JsonError::Type(self.name(field), "a text")),
+            _ => Err(JsonError::Type(self.name(field), "a string")),
         }
     }
 
-    /// A number that must be there.
+    /// A required finite number.
     pub fn number(&self, field: &str) -> Result<f64, JsonError> {
         match self.require(field)? {
             JsonValue::Number(number) if number.is_finite() => Ok(*number),
@@ -107,39 +106,39 @@
         }
     }
 
-    /// A whole number, 0 or more, that must be there.
+    /// A required integer that is not negative.
     pub fn integer(&self, field: &str) -> Result<u64, JsonError> {
         let number = self.number(field)?;
         if number < 0.0 || number.fract() != 0.0 || number > 9.0e15 {
-            return Err(JsonError::Type(self.name(field), "a whole number"));
+            return Err(JsonError::Type(self.name(field), "a non-negative integer"));
         }
         Ok(number as u64)
     }
 
-    /// A whole number, or `default` where the field is absent.
+    /// An integer that is not negative, or `default` if the field is absent.
     pub fn integer_or(&self, field: &str, default: u64) -> Result<u64, JsonError> {
         if self.get(field).is_none() { Ok(default) } else { self.integer(field) }
     }
 
-    /// A number, or `default` where the field is absent.
+    /// A finite number, or `default` if the field is absent.
     pub fn number_or(&self, field: &str, default: f64) -> Result<f64, JsonError> {
         if self.get(field).is_none() { Ok(default) } else { self.number(field) }
     }
 
-    /// True or false; false where the field is absent.
+    /// A boolean, or false if the field is absent.
     pub fn flag(&self, field: &str) -> Result<bool, JsonError> {
         match self.get(field) {
             None => Ok(false),
             Some(JsonValue::Boolean(flag)) => Ok(*flag),
-            Some(_) => Err(JsonError::Type(self.name(field), "true or false")),
+            Some(_) => Err(JsonError::Type(self.name(field), "a boolean")),
         }
     }
 
-    /// The objects of an array; none where the field is absent.
+    /// An array of objects, empty if the field is absent.
     pub fn objects(&self, field: &str) -> Result<Vec<Object<'a>>, JsonError> {
         let Some(value) = self.get(field) else { return Ok(Vec::new()) };
         let JsonValue::Array(values) = value else {
-            return Err(JsonError::Type(self.name(field), "a list"));
+            return Err(JsonError::Type(self.name(field), "an array"));
         };
         let name = self.name(field);
         values
@@ -149,7 +148,7 @@
             .collect()
     }
 
-    /// An object within this one, if it is there.
+    /// A nested object, if the field is present.
     pub fn object(&self, field: &str) -> Result<Option<Object<'a>>, JsonError> {
         self.get(field).map(|value| Object::new(value, &self.name(field))).transpose()
     }
--- a/crates/onyxstile-system/src/lib.rs
+++ b/crates/onyxstile-system/src/lib.rs
@@ -1,7 +1,9 @@
-//! The serving tier for agent programs: proxies on edge machines with an agent beside each, controllers on core
-//! machines, storage machines. docs/design/system.md says who keeps what and who speaks to whom.
+//! The serving tier for agent programs: proxies on edge machines, each with an agent on the same machine, controllers on
+//! core machines, and storage machines. docs/design/system.md describes which data each role keeps and which roles
+//! communicate.
 //!
-//! What decides is pure: `now`, a seed and events in, effects out. Sockets, files and the clock are in [`role`].
+//! The decision logic is pure: it takes the current time, a seed and events, and returns effects. Sockets, files and the
+//! clock are in [`role`].
 
 pub mod admission;
 pub mod balance;
--- a/crates/onyxstile-system/src/logging.rs
+++ b/crates/onyxstile-system/src/logging.rs
@@ -1,23 +1,23 @@
-//! The log: one line an event on standard error, set up once a process.
+//! Logging: one line per event on standard error, set up once per process.
 
 use quick_error::quick_error;
 
-/// The variable that sets the level (`error`, `warn`, `info`, `debug`, `trace`).
+/// Environment variable with the log level (`error`, `warn`, `info`, `debug` or `trace`).
 pub const LEVEL_VARIABLE: &str = "ONYXSTILE_LOG";
 
 quick_error! {
-    /// Why the log can't be set up.
+    /// Why logging cannot be set up.
     #[derive(Debug)]
     pub enum LoggingError {
-        /// Another logger is in place.
+        /// Another logger is already set.
         AlreadySet(error: log::SetLoggerError) {
             from()
-            display("the log is set up already: {}", error)
+            display("the logger is already set: {}", error)
         }
     }
 }
 
-/// Sends log lines of at least `level` to standard error, each with level, module and text.
+/// Writes log records of at least `level` to standard error, each with its level, module and text.
 pub fn start(level: log::LevelFilter) -> Result<(), LoggingError> {
     fern::Dispatch::new()
         .format(|out, message, record| {
@@ -29,7 +29,7 @@
     Ok(())
 }
 
-/// The level that the environment asks for; `info` if it says nothing that is known.
+/// The log level from the environment, or `info` if it is unset or invalid.
 pub fn level_from_environment() -> log::LevelFilter {
     std::env::var(LEVEL_VARIABLE).ok().and_then(|level| level.parse().ok()).unwrap_or(log::LevelFilter::Info)
 }
--- a/crates/onyxstile-system/src/main.rs
+++ b/crates/onyxstile-system/src/main.rs
@@ -1,4 +1,4 @@
-//! `onyxstile-system`: one program, a sub-command for each role of the serving tier.
+//! `onyxstile-system`: one binary with a sub-command for each role of the serving tier.
 
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -19,43 +19,43 @@
     command: Command,
 }
 
-/// What all roles take.
+/// Arguments of all roles.
 #[derive(Args)]
 struct Role {
-    /// Tells the role's figures as text over HTTP at this port and path of the machine's address.
+    /// Serves metrics as text over HTTP at this port of the machine's address, under this path.
     #[arg(long, value_name = "PORT/PATH")]
     metrics: Option<MetricsAddress>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves clients on an edge machine; needs listen.front and listen.readiness.
+    /// Runs a proxy, which serves clients on an edge machine; needs listen.front and listen.readiness.
     Proxy(Role),
-    /// Keeps the link to the controllers and feeds the proxy of its machine.
+    /// Runs an agent, which follows the controllers and updates the proxy on its machine.
     Agent(Role),
-    /// Keeps the control state on a core machine; needs data_dir and listen.control.
+    /// Runs a controller, which keeps the control state on a core machine; needs data_dir and listen.control.
     Controller(Role),
-    /// Keeps turns and budgets on a storage machine; needs data_dir.
+    /// Runs a storage server, which keeps turns and budgets on a storage machine; needs data_dir.
     Storage(Role),
-    /// Asks a controller or a storage machine what it knows: view, chain, revision, storage plan, repair.
+    /// Prints the status of a controller or a storage machine: view, chain, revision, storage plan, repair.
     Status {
-        /// Its address with the first of its internal ports.
+        /// Address of the machine with the first of its internal ports.
         address: SocketAddrV4,
     },
-    /// Checks a settings file and says what is wrong with it.
+    /// Validates a settings file and reports the first error.
     CheckSettings {
-        /// The file.
+        /// Path of the settings file.
         file: PathBuf,
     },
-    /// Checks a configuration before it is sent to the operator's API.
+    /// Validates a configuration before it is sent to the operator API.
     CheckConfiguration {
-        /// The file.
+        /// Path of the configuration file.
         file: PathBuf,
     },
 }
 
 impl Command {
-    /// Where a role tells its figures.
+    /// The metrics address of a role.
     fn metrics(&self) -> Option<MetricsAddress> {
         match self {
             Command::Proxy(role)
--- a/crates/onyxstile-system/src/metrics.rs
+++ b/crates/onyxstile-system/src/metrics.rs
@@ -1,5 +1,5 @@
-//! What a role tells of itself, in the text format of Prometheus and OpenMetrics; made anew each time that somebody asks, so
-//! that it costs nothing meanwhile.
+//! Metrics of a role in the text format of Prometheus and OpenMetrics. They are collected on each request, so that they
+//! cost nothing in between.
 
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// What all names begin with.
+/// Prefix of all metric names.
 const PREFIX: &str = "onyxstile";
-/// Most values that one figure has by its label; those beyond are left out.
+/// Maximum number of label values per metric. Further values are omitted.
 pub const LABEL_VALUES_MAX: usize = 64;
 
 type Labels = Vec<(&'static str, String)>;
 
-/// The figures of one moment.
+/// A set of metrics, collected at one moment.
 pub struct Metrics {
     registry: Registry,
 }
@@ -29,24 +29,24 @@
 }
 
 impl Metrics {
-    /// A value that rises and falls.
+    /// Adds a value that can rise and fall.
     pub fn gauge(&mut self, name: &str, help: &str, value: f64) {
         let gauge = Gauge::<f64, AtomicU64>::default();
         gauge.set(value);
         self.registry.register(name, help, gauge);
     }
 
-    /// A yes or no.
+    /// Adds a boolean as 0 or 1.
     pub fn flag(&mut self, name: &str, help: &str, value: bool) {
         self.gauge(name, help, f64::from(u8::from(value)));
     }
 
-    /// A time that something took, in seconds; -1 while it is not over.
+    /// Adds a duration in seconds; -1 while it is not over.
     pub fn time_taken(&mut self, name: &str, help: &str, value: Option<Duration>) {
         self.gauge(name, help, value.map_or(-1.0, |value| value.as_secs_f64()));
     }
 
-    /// A number of events since the start of the process, by a label; its name gets `_total`.
+    /// Adds event counters since the start of the process, distinguished by a label. `_total` is appended to the name.
     pub fn counters(&mut self, name: &str, help: &str, label: &'static str, values: &[(&str, u64)]) {
         let family = Family::<Labels, Counter>::default();
         for (value, count) in values.iter().take(LABEL_VALUES_MAX) {
@@ -55,7 +55,7 @@
         self.registry.register(name, help, family);
     }
 
-    /// A value for each of several, told apart by a label.
+    /// Adds gauges, distinguished by a label.
     pub fn gauges(&mut self, name: &str, help: &str, label: &'static str, values: &[(String, f64)]) {
         let family = Family::<Labels, Gauge<f64, AtomicU64>>::default();
         for (value, gauge) in values.iter().take(LABEL_VALUES_MAX) {
@@ -64,11 +64,11 @@
         self.registry.register(name, help, family);
     }
 
-    /// All figures as text.
+    /// Encodes all metrics as text.
     pub fn text(&self) -> String {
         let mut text = String::new();
         if let Err(error) = text::encode(&mut text, &self.registry) {
-            log::error!("figures could not be written: {error}");
+            log::error!("metrics could not be encoded: {error}");
         }
         text
     }
--- a/crates/onyxstile-system/src/settings.rs
+++ b/crates/onyxstile-system/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of one process (`boot.toml`): what the platform tells it at the start. Unknown fields are ignored.
+//! The settings file of a process (`boot.toml`), provided by the platform. Unknown fields are ignored.
 
 mod metrics_address;
 
@@ -13,18 +13,18 @@
 use crate::tolerance::{Place, Tolerance};
 pub use metrics_address::{MetricsAddress, MetricsAddressError};
 
-/// The variable that holds the path of the settings file.
+/// Environment variable with the path of the settings file.
 pub const PATH_VARIABLE: &str = "ONYXSTILE_CONFIG";
 
 quick_error! {
-    /// Why a settings file can't be used.
+    /// Why a settings file cannot be used.
     #[derive(Debug)]
     pub enum SettingsError {
-        /// The variable that names the file is not set.
+        /// The environment variable is not set.
         NoPath {
             display("the variable {} is not set", PATH_VARIABLE)
         }
-        /// The file can't be read.
+        /// The file cannot be read.
         Unreadable(path: PathBuf, error: std::io::Error) {
             display("{}: {}", path.display(), error)
         }
@@ -32,35 +32,36 @@
         Malformed(path: PathBuf, error: String) {
             display("{}: {}", path.display(), error)
         }
-        /// A field holds a value that this program can't work with.
+        /// The value of a field is not supported.
         Unusable(path: PathBuf, field: &'static str, reason: String) {
             display("{}: {}: {}", path.display(), field, reason)
         }
     }
 }
 
-/// The addresses that a role listens on; which are present depends on what the role serves.
+/// Addresses that a process listens on. Which of them are present depends on its role.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct Listen {
-    /// Where clients connect (edge).
+    /// Client connections (edge).
     pub front: Option<SocketAddrV4>,
-    /// Where the platform asks for readiness (edge).
+    /// Readiness checks of the platform (edge).
     pub readiness: Option<SocketAddrV4>,
-    /// Where endpoints and the operator connect (control plane).
+    /// Endpoints and the operator (control plane).
     pub control: Option<SocketAddrV4>,
-    /// Where a proxy hears its agent, for hosts with several relays; by default loopback, at the second internal port.
+    /// Updates from the agent to the proxy, for hosts with several relays. The default is the second internal port on
+    /// loopback.
     pub feed: Option<SocketAddrV4>,
 }
 
-/// What the machine grants the process.
+/// Resource limits of the process.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory in MB above which the process is killed.
+    /// Memory limit in MB, above which the process is killed.
     pub memory_mb: u64,
-    /// Open descriptors, 200 of which are kept for files outside the disk folder.
+    /// Maximum number of open descriptors, 200 of which are reserved for files outside the data folder.
     pub max_fds: u64,
-    /// Room on the disk in MB.
+    /// Disk capacity in MB.
     pub disk_mb: u64,
 }
 
@@ -70,25 +71,25 @@
     }
 }
 
-/// The shortest and the longest time, in seconds, that is believed to pass between SIGTERM and the kill.
+/// Accepted range for the time between SIGTERM and SIGKILL, in seconds.
 const GRACE_RANGE_S: (f64, f64) = (0.5, 24.0 * 3600.0);
 
-/// Room before the kill for the last bytes to leave.
+/// Time reserved before SIGKILL to send the last bytes.
 const KILL_MARGIN: Duration = Duration::from_millis(400);
 
-/// Time bounds of the deployment. All are given by the platform; the defaults are those of a small deployment.
+/// Time bounds of the deployment, provided by the platform. The defaults suit a small deployment.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// Within this many ms after its acknowledgement a drain is in force on each relay.
+    /// Time after its acknowledgement within which a drain takes effect on each relay, in ms.
     pub drain_ms: u64,
-    /// Seconds between SIGTERM and SIGKILL.
+    /// Time between SIGTERM and SIGKILL, in seconds.
     pub grace_s: f64,
-    /// Within this many ms after its acknowledgement a configuration is in force.
+    /// Time after its acknowledgement within which a configuration takes effect, in ms.
     pub config_apply_ms: u64,
-    /// Seconds that a returned machine has until it must carry its part again.
+    /// Time within which a machine that returns must be fully in service, in seconds.
     pub catch_up_s: f64,
-    /// A stream's event may be held this many ms.
+    /// Maximum delay for forwarding a stream event, in ms.
     pub pass_ms: u64,
 }
 
@@ -101,48 +102,49 @@
 /// All settings of a process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// The machine's name, as the operator calls it.
+    /// Name of the machine, assigned by the operator.
     pub node_name: String,
     /// `edge`, `core` or `storage`.
     #[serde(default)]
     pub machine_class: String,
-    /// The machine's address.
+    /// Address of the machine.
     pub ip: Ipv4Addr,
-    /// The zone that the machine stands in.
+    /// Zone of the machine.
     #[serde(default)]
     pub zone: String,
-    /// First and last port left free for what relays say to each other.
+    /// First and last port that is reserved for internal communication.
     pub internal_port_range: (u16, u16),
-    /// Control addresses of some machines, as the operator's list gave them.
+    /// Control addresses of some machines, as listed by the operator.
     #[serde(default)]
     pub seed_nodes: Vec<SocketAddrV4>,
-    /// True only at the first start of the whole system, on empty disks.
+    /// True only for the first start of the whole system, with empty disks.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Whether the loss of this machine is counted by `fault_tolerance`.
+    /// Whether the loss of this machine counts towards `fault_tolerance`.
     #[serde(default)]
     pub counts_for_quorum: bool,
-    /// The folder for data, on machines with a disk.
+    /// Data folder, on machines with a disk.
     pub data_dir: Option<PathBuf>,
-    /// About how often an endpoint sends a heartbeat, in ms.
+    /// Approximate interval of endpoint heartbeats, in ms.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// Zones with the region of each.
+    /// Region of each zone.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
-    /// Where to listen.
+    /// Addresses to listen on.
     #[serde(default)]
     pub listen: Listen,
-    /// What the machine grants.
+    /// Resource limits.
     #[serde(default)]
     pub limits: Limits,
-    /// What may be lost.
+    /// Losses that must be tolerated.
     #[serde(default)]
     pub fault_tolerance: Tolerance,
     /// Time bounds.
     #[serde(default)]
     pub bounds: Bounds,
-    /// Where this process tells its figures; from the command line, for two processes of a machine share this file.
+    /// Address that metrics are served at. It comes from the command line, since two processes of a machine share the
+    /// settings file.
     #[serde(skip)]
     pub metrics: Option<MetricsAddress>,
 }
@@ -152,67 +154,68 @@
 }
 
 impl Settings {
-    /// Reads the file that the variable [`PATH_VARIABLE`] names.
+    /// Reads the file named by the environment variable [`PATH_VARIABLE`].
     pub fn from_environment() -> Result<Settings, SettingsError> {
         let path = std::env::var_os(PATH_VARIABLE).ok_or(SettingsError::NoPath)?;
         Settings::read(Path::new(&path))
     }
 
-    /// Reads and checks one file.
+    /// Reads and validates a settings file.
     pub fn read(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| SettingsError::Unreadable(path.to_owned(), error))?;
         Settings::parse(path, &text)
     }
 
-    /// Parses and checks a settings file's text; `path` is for messages only.
+    /// Parses and validates the text of a settings file; `path` is used only in error messages.
     pub fn parse(path: &Path, text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = toml::from_str(text)
             .map_err(|error| SettingsError::Malformed(path.to_owned(), error.to_string()))?;
         let (first, last) = settings.internal_port_range;
         if first == 0 || last < first.saturating_add(1) {
-            let reason = format!("{first} to {last} holds fewer than two ports");
+            let reason = format!("the range {first} to {last} holds fewer than two ports");
             return Err(SettingsError::Unusable(path.to_owned(), "internal_port_range", reason));
         }
         if settings.heartbeat_ms == 0 {
-            return Err(SettingsError::Unusable(path.to_owned(), "heartbeat_ms", "is 0".into()));
+            return Err(SettingsError::Unusable(path.to_owned(), "heartbeat_ms", "must not be 0".into()));
         }
         Ok(settings)
     }
 
-    /// The port on which controllers, storage machines and agents hear each other, by TCP and UDP.
+    /// Port for communication between controllers, storage machines and agents, over TCP and UDP.
     pub fn peer_port(&self) -> u16 {
         self.internal_port_range.0
     }
 
-    /// The port on which a proxy hears its agent, on loopback only.
+    /// Port at which a proxy receives updates from its agent, on loopback only.
     pub fn feed_port(&self) -> u16 {
         self.internal_port_range.0 + 1
     }
 
-    /// Where a proxy hears its agent.
+    /// Address at which a proxy receives updates from its agent.
     pub fn feed_address(&self) -> SocketAddrV4 {
         self.listen.feed.unwrap_or(SocketAddrV4::new(Ipv4Addr::LOCALHOST, self.feed_port()))
     }
 
-    /// Machine addresses of the seeds.
+    /// Addresses of the seed machines.
     pub fn seed_addresses(&self) -> Vec<Ipv4Addr> {
         self.seed_nodes.iter().map(|seed| *seed.ip()).collect()
     }
 
-    /// Where a machine of `zone` stands.
+    /// The location (region and zone) of a machine in `zone`.
     pub fn location(&self, zone: &str) -> Place {
         let region = self.zones.get(zone).cloned().unwrap_or_default();
         Place { region, zone: zone.to_owned() }
     }
 
-    /// How long a process has between SIGTERM and the kill.
+    /// Time between SIGTERM and SIGKILL, limited to the accepted range.
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.grace_s.max(GRACE_RANGE_S.0).min(GRACE_RANGE_S.1))
     }
 }
 
-/// How long a role may take to end where the kill comes `grace` after SIGTERM: the last bytes leave before that.
+/// Time that a role may take to shut down if SIGKILL follows SIGTERM after `grace`. It leaves a margin to send the last
+/// bytes.
 pub fn shutdown_time(grace: Duration) -> Duration {
     grace.saturating_sub(KILL_MARGIN)
 }
--- a/crates/onyxstile-system/src/settings/metrics_address.rs
+++ b/crates/onyxstile-system/src/settings/metrics_address.rs
@@ -1,30 +1,30 @@
-//! Where a role tells its figures, as the command line names it.
+//! The command line argument for the metrics address.
 
 use std::str::FromStr;
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a text names no place for figures.
+    /// Why a text is not a metrics address.
     #[derive(Debug, PartialEq, Eq)]
     pub enum MetricsAddressError {
-        /// It has no slash.
+        /// It contains no slash.
         NoPath {
-            display("it is not PORT/PATH")
+            display("expected PORT/PATH")
         }
-        /// What stands before the slash is no port.
+        /// The part before the slash is not a port.
         Port(text: String) {
-            display("{:?} is no port", text)
+            display("{:?} is not a port", text)
         }
     }
 }
 
-/// Where a role tells its figures: a port of the machine's address, and a path.
+/// Where a role serves its metrics: a port of the machine's address, and a path.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MetricsAddress {
     /// The port.
     pub port: u16,
-    /// The path, with the slash that it begins with.
+    /// The path, including the leading slash.
     pub path: String,
 }
 
--- a/crates/onyxstile-system/src/storage_plan.rs
+++ b/crates/onyxstile-system/src/storage_plan.rs
@@ -1,7 +1,7 @@
-//! Which storage machines there are, as agreed through the chain, and how the plan follows what happens to them.
+//! The set of storage machines, as agreed through the chain, and the planning of membership changes.
 //!
-//! While a plan changes, quorums of both the old and the new members are needed; the change ends once all new members
-//! say that they hold what is theirs. Pure.
+//! While a plan changes, quorums of both the previous and the current members are required. The change ends once all
+//! current members report that they are in sync. All functions are pure.
 
 mod planning;
 
@@ -12,92 +12,93 @@
 
 use crate::tolerance::{Place, Tolerance};
 
-/// One storage machine with one particular disk. With another disk it is another member: what was acknowledged by the one
-/// is no word of the other's, so the plan changes, and writes that go by the plan before are refused.
+/// A storage machine together with its disk. The same machine with another disk is a different member: it does not hold
+/// what the previous disk acknowledged. The plan therefore changes, and writes that use the previous plan are refused.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
 pub struct StorageNode {
-    /// Its name, as the operator calls it.
+    /// Name assigned by the operator.
     pub name: String,
-    /// Its address.
+    /// IPv4 address.
     pub ip: [u8; 4],
-    /// The id of its disk.
+    /// Identifier of the disk.
     pub disk: u64,
-    /// Where it stands.
+    /// Zone and region of the machine.
     pub location: Place,
 }
 
 impl StorageNode {
-    /// Its address.
+    /// The address of the machine.
     pub fn address(&self) -> Ipv4Addr {
         self.ip.into()
     }
 }
 
-/// The agreed storage machines.
+/// The agreed set of storage machines.
 #[derive(Debug, Clone, PartialEq, Eq, Default, BorshSerialize, BorshDeserialize)]
 pub struct StoragePlan {
-    /// Rises by one with each plan; 0 before the first.
+    /// Incremented with each plan; 0 before the first one.
     pub epoch: u64,
-    /// The members.
+    /// The current members.
     pub current: Vec<StorageNode>,
-    /// The members before a change that is under way; empty otherwise.
+    /// The previous members during a change; empty otherwise.
     pub previous: Vec<StorageNode>,
-    /// Names of machines that were retired and take no part again.
+    /// Names of retired machines, which never become members again.
     pub retired: Vec<String>,
-    /// How many members the deployment is meant to have.
+    /// The intended number of members.
     pub size: u32,
 }
 
-/// What the one that plans knows of a storage machine.
+/// Observed state of a storage machine, the input of planning.
 #[derive(Debug, Clone)]
 pub struct Observed {
     /// The machine.
     pub node: StorageNode,
-    /// How long it has been held dead; `None` while it is not.
+    /// How long the machine has been considered dead; `None` if it is alive.
     pub dead_for: Option<Duration>,
-    /// The newest epoch for which it said that it holds what is its own.
+    /// The newest epoch for which the machine has reported that it is in sync.
     pub synced_epoch: u64,
 }
 
-/// Why a machine can't be retired.
+/// Why a machine cannot be retired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetireRefusal {
-    /// There is no such machine.
+    /// There is no such member.
     Unknown,
-    /// Too few would be left.
+    /// Too few members would remain.
     TooFew,
-    /// Too few would be left as long as some members are dead.
+    /// Too few members would remain while some are dead.
     TooFewAlive,
-    /// Another change is under way; whom it leaves is not known yet.
+    /// Another change is in progress, and its outcome is not known yet.
     Changing,
 }
 
 impl StoragePlan {
-    /// Members of the plan and of the one before; those of both twice.
+    /// Current and previous members; a member of both appears twice.
     pub fn members(&self) -> impl Iterator<Item = &StorageNode> {
         self.current.iter().chain(&self.previous)
     }
 
-    /// Members of the plan and of the one before, each once.
+    /// Current and previous members without duplicates.
     pub fn all(&self) -> Vec<StorageNode> {
         let mut all = self.current.clone();
         all.extend(self.previous.iter().filter(|node| !self.current.contains(node)).cloned());
         all
     }
 
-    /// The members whose quorums hold every acknowledged record: those before a change that is under way, else the current.
+    /// The members whose quorums hold every acknowledged record: the previous members during a change, the current ones
+    /// otherwise.
     pub fn committed_members(&self) -> &[StorageNode] {
         if self.is_changing() { &self.previous } else { &self.current }
     }
 
-    /// Whether a machine with this disk is a member, or was one before a change that is under way.
+    /// Whether a machine with this disk is a current member, or a previous one during a change.
     pub fn includes(&self, ip: Ipv4Addr, disk: u64) -> bool {
         let is_same_disk = |node: &StorageNode| node.address() == ip && node.disk == disk;
         self.epoch > 0 && self.members().any(is_same_disk)
     }
 
-    /// Whether each key has the same groups by this plan as by another: the same machines at the same places, whatever disks
-    /// they have.
+    /// Whether each key has the same groups in both plans: the same machines at the same locations, regardless of their
+    /// disks.
     pub fn has_same_placement(&self, other: &StoragePlan) -> bool {
         let placement = |nodes: &[StorageNode]| -> Vec<([u8; 4], Place)> {
             nodes.iter().map(|node| (node.ip, node.location.clone())).collect()
@@ -105,13 +106,14 @@
         placement(&self.current) == placement(&other.current)
     }
 
-    /// Whether a change is under way.
+    /// Whether a change is in progress.
     pub fn is_changing(&self) -> bool {
         !self.previous.is_empty()
     }
 
-    /// The plan without one machine; `None` if it was retired before. Members that are `dead` hold nothing up that may be lost:
-    /// without them the rest has to bear what it bore.
+    /// Returns the plan without one machine, or `None` if the machine has been retired before. Members in `dead` do not
+    /// block a retirement as long as their loss is tolerated: the remaining live members must tolerate the same losses as
+    /// before.
     pub fn retire(
         &self, name: &str, tolerance: Tolerance, dead: &[String],
     ) -> Result<Option<StoragePlan>, RetireRefusal> {
@@ -141,7 +143,7 @@
         Ok(Some(next))
     }
 
-    /// Whether a retired machine may be taken away; `None` if it was never retired.
+    /// Whether a retired machine may be switched off; `None` if it was never retired.
     pub fn is_retirement_complete(&self, name: &str) -> Option<bool> {
         let is_member = self.members().any(|node| node.name == name);
         self.retired.iter().any(|retired| retired == name).then_some(!is_member)
@@ -153,8 +155,8 @@
         StoragePlan { epoch: self.epoch + 1, current, previous, ..self.clone() }
     }
 
-    /// The first plan: all machines that are there. One that can't bear all losses that should be is made only once
-    /// `has_waited` says that no more will come.
+    /// Returns the first plan, which contains all live machines. A plan that does not tolerate the required losses is
+    /// returned only if `has_timed_out` is set, which means that no further machines are expected.
     pub fn first(observed: &[Observed], tolerance: Tolerance, has_timed_out: bool) -> Option<StoragePlan> {
         let mut current: Vec<StorageNode> =
             observed.iter().filter(|seen| seen.dead_for.is_none()).map(|seen| seen.node.clone()).collect();
@@ -177,7 +179,7 @@
     nodes.iter().map(|node| &node.location).collect()
 }
 
-/// Whether members may be given up: enough are left, and a loss that was borne before is borne after.
+/// Whether members may be removed: enough remain, and a loss that was tolerated before is still tolerated.
 fn can_shrink(before: &[StorageNode], after: &[StorageNode], tolerance: Tolerance) -> bool {
     let is_loss_tolerated = |nodes: &[StorageNode]| tolerance.is_borne_by(&places(nodes));
     after.len() >= tolerance.group_size() && (is_loss_tolerated(after) || !is_loss_tolerated(before))
--- a/crates/onyxstile-system/src/storage_plan/planning.rs
+++ b/crates/onyxstile-system/src/storage_plan/planning.rs
@@ -1,22 +1,22 @@
-//! Which plan should follow, given what is seen of storage machines.
+//! Computes the next plan from the observed state of the storage machines.
 
 use std::time::Duration;
 
 use super::{Observed, StorageNode, StoragePlan, can_shrink};
 use crate::tolerance::Tolerance;
 
-/// A dead machine gives its place to a newcomer after this time.
+/// A dead machine is replaced by a new one after this time.
 const REPLACE_AFTER: Duration = Duration::from_millis(500);
-/// A dead machine is dropped without a newcomer after this time, if enough are left.
+/// A dead machine is removed without a replacement after this time, if enough members remain.
 const DROP_AFTER: Duration = Duration::from_secs(20);
-/// A dead machine no longer holds up the end of a change after this time.
+/// A dead machine stops blocking the end of a change after this time.
 const SYNC_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl StoragePlan {
-    /// The plan that should follow this one, given what is seen; `None` if it is to stay.
+    /// Returns the plan that should follow this one, or `None` if it should stay.
     ///
-    /// A change that all newcomers have copied for is ended before another begins: until its end the members before are
-    /// needed, and one of them that is gone for good would be missed at the next loss.
+    /// A change that all new members are in sync for is ended before another one begins. Until it ends, the previous
+    /// members are required, and one that is permanently lost would count against the next loss.
     pub fn next(&self, observed: &[Observed], tolerance: Tolerance) -> Option<StoragePlan> {
         if self.are_new_members_synced(observed) && self.is_synced(observed, tolerance) {
             return Some(self.completed());
@@ -37,7 +37,7 @@
         new_members.all(|node| self.has_synced(node, observed))
     }
 
-    /// Whether a machine has said that it holds what this plan gives it.
+    /// Whether a machine has reported that it is in sync with this plan.
     fn has_synced(&self, node: &StorageNode, observed: &[Observed]) -> bool {
         observed.iter().any(|seen| seen.node == *node && seen.synced_epoch >= self.epoch)
     }
@@ -57,10 +57,11 @@
         }
         for seen in observed.iter() {
             let Some(dead_for) = seen.dead_for else { continue };
-            // Where a successor is there, the loss of the dead one soon counts no more, and another may follow.
+            // With a replacement present, the loss of the dead machine soon stops counting, and another loss is tolerated
+            // again.
             let has_replacement = target.len() > self.size as usize;
-            // One that no change has filled yet is taken out again as soon: as a member that holds nothing it would be a loss
-            // that nobody counts.
+            // A new member that is not in sync yet is also removed early: it holds no data, so it would be a loss that is
+            // not accounted for.
             let is_unsynced = self.is_changing() && !self.previous.contains(&seen.node);
             let timeout = if has_replacement || is_unsynced { REPLACE_AFTER } else { DROP_AFTER };
             let remaining: Vec<StorageNode> =
@@ -75,8 +76,9 @@
         target
     }
 
-    /// Whether a change is under way and may end: all current members are synced but for dead ones of those before that may be
-    /// lost, and for none as long as a member that leaves is there to be asked.
+    /// Whether a change is in progress and may end. All current members must be in sync. Dead ones that were already
+    /// previous members are exempt if their loss is tolerated, but only if no leaving member is alive that could still be
+    /// copied from.
     fn is_synced(&self, observed: &[Observed], tolerance: Tolerance) -> bool {
         let mut missing = Vec::new();
         for node in self.current.iter().filter(|node| !self.has_synced(node, observed)) {
--- a/crates/onyxstile-system/src/wire.rs
+++ b/crates/onyxstile-system/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between the roles: borsh inside frames of bounded length that carry a version and a kind.
+//! Messages between the roles, encoded with borsh in frames of bounded length that carry a version and a kind.
 
 mod updates;
 
@@ -14,24 +14,24 @@
 use crate::program::{ClaimSummary, Entry, Key, Record, Turn};
 use crate::registry::{Instance, Told};
 
-/// The version of the internal protocol; a frame of another is refused.
+/// Version of the internal protocol. Frames of any other version are rejected.
 pub const VERSION: u8 = 6;
-/// Most bytes of a frame: the largest configuration and a state of many changes fit.
+/// Maximum size of a frame in bytes. The largest configuration and a state with many changes fit.
 pub const FRAME_MAX: usize = 32 * 1024 * 1024;
 
 quick_error! {
-    /// Why a frame was refused.
+    /// Why a frame was rejected.
     #[derive(Debug)]
     pub enum WireError {
-        /// It is longer than any frame may be.
+        /// It exceeds the maximum frame size.
         TooLong(length: usize) {
-            display("a frame of {} bytes", length)
+            display("the frame of {} bytes is too long", length)
         }
-        /// It is of another version.
+        /// Its protocol version is not supported.
         Version(version: u8) {
-            display("a frame of version {}", version)
+            display("the frame has the unsupported version {}", version)
         }
-        /// It can't be read.
+        /// It cannot be decoded.
         Malformed(error: std::io::Error) {
             from()
             display("{}", error)
@@ -39,155 +39,156 @@
     }
 }
 
-/// What one role asks another.
+/// A request from one role to another.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Request {
-    /// A message between controllers; it has no answer of its own.
+    /// A message between controllers. It has no response of its own.
     Control {
-        /// The machine that sends it.
+        /// Address of the sending machine.
         from: [u8; 4],
-        /// What it says.
+        /// The message.
         message: Message,
     },
-    /// A registry record that is to be held before it is acknowledged.
+    /// A registry record that the receiver must hold before it is acknowledged.
     Register(Instance),
-    /// Endpoints as another controller knows them.
+    /// Requests the endpoint changes of another controller.
     Registry {
-        /// The life that the counter belongs to.
+        /// Incarnation that the counter belongs to.
         origin: u64,
-        /// The newest change of that registry that the sender has dealt with.
+        /// The newest change of that registry that the sender has processed.
         counter: u64,
-        /// How long the answer may wait for news, in ms.
+        /// How long the response may wait for changes, in ms.
         wait_ms: u64,
     },
-    /// News of the control state and of endpoints.
+    /// Requests updates of the control state and of endpoints.
     Pull(PullRequest),
-    /// What the controller knows, for an operator.
+    /// Requests the status of the receiver as text for an operator.
     Status,
-    /// A claim on a program's budget, which is to be on the disk before the answer.
+    /// A claim on a program's budget, which must be durable before the response is sent.
     Reserve {
-        /// The storage epoch that the sender goes by.
+        /// The storage epoch of the sender.
         epoch: u64,
         /// The program.
         program: String,
         /// The claim.
         entry: Entry,
-        /// Whether all claims of the program are wanted, or their summary.
+        /// Whether to return all claims of the program instead of their summary.
         wants_all: bool,
     },
-    /// Records that are to be on the disk before the answer.
+    /// Records that must be durable before the response is sent.
     Write {
-        /// The storage epoch that the sender goes by.
+        /// The storage epoch of the sender.
         epoch: u64,
         /// The records.
         records: Vec<Record>,
     },
-    /// Turns by their request ids.
+    /// Requests turns by their request ids.
     GetTurns {
-        /// The storage epoch that the sender goes by.
+        /// The storage epoch of the sender.
         epoch: u64,
         /// The request ids.
         ids: Vec<String>,
     },
-    /// Keys that changed at a storage machine.
+    /// Requests the keys that changed at a storage machine.
     Changes {
-        /// The life that the counter belongs to.
+        /// Incarnation that the counter belongs to.
         origin: u64,
-        /// The newest change that the sender has dealt with.
+        /// The newest change that the sender has processed.
         counter: u64,
-        /// How long the answer may wait for news, in ms.
+        /// How long the response may wait for changes, in ms.
         wait_ms: u64,
     },
-    /// Records by their keys.
+    /// Requests records by their keys.
     Fetch(Vec<Key>),
-    /// What an agent feeds its proxy.
+    /// Updates from an agent to its proxy.
     Feed(Feed),
 }
 
-/// An answer to a [`Request`].
+/// The response to a [`Request`].
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Response {
-    /// Done.
+    /// The request was carried out.
     Done,
-    /// The receiver can't do it now.
+    /// The receiver cannot carry out the request now.
     Refused,
-    /// The sender goes by an older storage epoch than this.
+    /// The sender's storage epoch is older than this one.
     Stale(u64),
     /// Endpoints that changed.
     Registry {
-        /// The life that the counter belongs to.
+        /// Incarnation that the counter belongs to.
         origin: u64,
         /// The newest change of the registry.
         counter: u64,
-        /// Whether the controller holds every drain that was acknowledged.
+        /// Whether the controller holds every acknowledged drain.
         is_complete: bool,
-        /// Their records.
+        /// Records of the endpoints.
         records: Vec<Told>,
     },
-    /// News.
+    /// Updates of the control state and of endpoints.
     Pull(PullResponse),
-    /// The claims of a program, the new one among them.
+    /// Summary of a program's claims, including the new one.
     Reserved(ClaimSummary),
-    /// All claims of a program, the new one among them.
+    /// All claims of a program, including the new one.
     Claims(Vec<Entry>),
-    /// Turns, in the order of the ids; `is_sure` says that what is missing was never written here and not lost either.
+    /// Turns in the order of the ids. With `is_conclusive`, a missing turn was never written to this machine and was not
+    /// lost either.
     Turns {
-        /// A turn for each id that was found.
+        /// The turn of each id, or `None` if it was not found.
         turns: Vec<Option<Rc<Turn>>>,
-        /// Whether the absence of a turn means anything.
+        /// Whether the absence of a turn is conclusive.
         is_conclusive: bool,
     },
-    /// Changed keys, each with its version.
+    /// Changed keys with their versions.
     Changes {
-        /// The life that the counter belongs to.
+        /// Incarnation that the counter belongs to.
         origin: u64,
-        /// The newest change that is among the keys.
+        /// The newest change that the keys cover.
         counter: u64,
-        /// Whether there are no later ones.
+        /// Whether there are no later changes.
         is_last: bool,
-        /// The storage epoch that the machine goes by.
+        /// The storage epoch of the machine.
         epoch: u64,
-        /// Whether the machine holds all that it should.
+        /// Whether the machine's data is complete.
         is_complete: bool,
-        /// The newest epoch for which it holds all that the plan gives it.
+        /// The newest epoch for which the machine is in sync.
         synced_epoch: u64,
         /// Keys with versions.
         keys: Vec<(Key, u8)>,
     },
-    /// Records.
+    /// The requested records.
     Records(Vec<Record>),
-    /// The feed was taken.
+    /// The feed was accepted.
     FeedAccepted {
-        /// The life of the proxy.
+        /// Incarnation of the proxy.
         incarnation: u64,
-        /// What its calls show of endpoints under suspicion.
+        /// Evidence from the proxy's calls on suspected endpoints.
         evidence: Vec<Evidence>,
     },
-    /// Lines for an operator.
+    /// Status lines for an operator.
     Status(Vec<String>),
 }
 
-/// The bytes of a frame's body: version, then the message.
+/// Encodes a frame body: the version followed by the message.
 pub fn encode<T: BorshSerialize>(message: &T) -> Vec<u8> {
     encode_versioned(VERSION, message)
 }
 
-/// The same behind another version.
+/// Like [`encode`], with an explicit version.
 pub(crate) fn encode_versioned<T: BorshSerialize>(version: u8, message: &T) -> Vec<u8> {
     let mut bytes = vec![version];
-    // Writing to a vector can't fail but for lengths over 4 GiB, which bounds elsewhere rule out.
+    // Writing to a vector fails only for lengths over 4 GiB, which limits elsewhere rule out.
     if let Err(error) = message.serialize(&mut bytes) {
-        log::error!("a message could not be encoded: {error}");
+        log::error!("the message could not be encoded: {error}");
     }
     bytes
 }
 
-/// Reads what [`encode`] wrote; bytes left over are an error.
+/// Decodes a message that was encoded by [`encode`]. Trailing bytes are an error.
 pub fn decode<T: BorshDeserialize>(bytes: &[u8]) -> Result<T, WireError> {
     decode_versioned(VERSION, bytes)
 }
 
-/// The same behind another version.
+/// Like [`decode`], with an explicit version.
 pub(crate) fn decode_versioned<T: BorshDeserialize>(wanted: u8, bytes: &[u8]) -> Result<T, WireError> {
     if bytes.len() > FRAME_MAX {
         return Err(WireError::TooLong(bytes.len()));
--- a/crates/onyxstile-system/src/wire/updates.rs
+++ b/crates/onyxstile-system/src/wire/updates.rs
@@ -1,4 +1,4 @@
-//! What controllers tell agents and storage machines, and agents their proxies.
+//! Updates from controllers to agents and storage machines, and from agents to their proxies.
 
 use std::rc::Rc;
 
@@ -9,82 +9,83 @@
 use crate::registry::Instance;
 use crate::storage_plan::StoragePlan;
 
-/// What an agent or a storage machine asks a controller for.
+/// A request for updates from an agent or a storage machine to a controller.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct PullRequest {
-    /// The machine that asks.
+    /// Address of the requesting machine.
     pub ip: [u8; 4],
-    /// Its name.
+    /// Name of the requesting machine.
     pub name: String,
-    /// The control state's sequence that it holds.
+    /// Sequence of the control state that the requester holds.
     pub sequence: u64,
-    /// The revision that it holds.
+    /// Revision of the configuration that the requester holds.
     pub revision: u64,
-    /// Whether it wants the state itself, or only to hear that there is a newer one.
+    /// Whether to return the state itself, or only to report that there is a newer one.
     pub wants_state: bool,
-    /// Whether it wants endpoints.
+    /// Whether to return endpoints.
     pub wants_endpoints: bool,
-    /// The origin that its registry counter belongs to.
+    /// Origin that the registry counter belongs to.
     pub origin: u64,
-    /// The registry counter that it holds of that origin.
+    /// Registry counter for that origin, up to which the requester is in sync.
     pub counter: u64,
-    /// Whether the controller is one of those that the asker counts as heard; if it isn't, that it holds all is news.
+    /// Whether the requester already counts this controller as one that it has received a settled response from. If it
+    /// does not, a settled response is an update and ends the wait.
     pub is_counted: bool,
-    /// How long the answer may wait for news, in ms.
+    /// How long the response may wait for updates, in ms.
     pub wait_ms: u64,
-    /// The storage epoch for which the sender holds all that is its own; 0 elsewhere.
+    /// The storage epoch for which the requester is in sync; 0 for roles other than storage.
     pub synced_epoch: u64,
-    /// What the sender's calls show of endpoints, if this controller is to sum that up for all relays.
+    /// Evidence from the requester's calls on endpoints, if this controller is to aggregate it for all relays.
     pub evidence: Option<Vec<Evidence>>,
 }
 
-/// What every relay has to know of the control state.
+/// The part of the control state that every relay needs.
 #[derive(Debug, Clone, PartialEq, Eq, Default, BorshSerialize, BorshDeserialize)]
 pub struct PublishedState {
-    /// The control state's sequence.
+    /// Sequence of the control state.
     pub sequence: u64,
-    /// The newest configuration; left out where the asker holds that revision.
+    /// The newest configuration, omitted if the requester holds that revision.
     pub configuration: Option<Rc<StoredConfiguration>>,
     /// The storage plan.
     pub storage: Rc<StoragePlan>,
 }
 
-/// A controller's answer to a [`Pull`].
+/// A controller's response to a [`PullRequest`].
 #[derive(Debug, Clone, PartialEq, Default, BorshSerialize, BorshDeserialize)]
 pub struct PullResponse {
-    /// The number of the view that the controller has installed; 0 for none.
+    /// Number of the view that the controller has installed; 0 for none.
     pub view: u64,
-    /// Machines that vote on views.
+    /// Addresses of the machines that vote on views.
     pub electors: Vec<[u8; 4]>,
-    /// Whether all that the controller holds is known to be committed.
+    /// Whether everything that the controller holds is known to be committed.
     pub is_settled: bool,
-    /// The sequence of the newest committed state.
+    /// Sequence of the newest committed state.
     pub sequence: u64,
-    /// The state, if it was asked for and is newer.
+    /// The state, if it was requested and is newer.
     pub state: Option<PublishedState>,
-    /// Which life of the controller the counter belongs to.
+    /// Incarnation of the controller that the counter belongs to.
     pub origin: u64,
     /// The newest change of the registry.
     pub counter: u64,
     /// Endpoints that changed.
     pub endpoints: Vec<Instance>,
-    /// How many relays the controller hears of; none while it does not know.
+    /// Number of relays that poll the controller; `None` while it is unknown.
     pub relays: Option<u32>,
-    /// What all relays' calls show of endpoints under suspicion, if the asker told its own.
+    /// Aggregated evidence of all relays on suspected endpoints, if the requester sent its own.
     pub evidence: Vec<Evidence>,
 }
 
-/// What a proxy has to know, from the agent beside it.
+/// Updates from an agent to the proxy on the same machine.
 #[derive(Debug, Clone, PartialEq, Default, BorshSerialize, BorshDeserialize)]
 pub struct Feed {
-    /// The control state, if it is newer than what was fed before.
+    /// The control state, if it is newer than the last one sent.
     pub state: Option<PublishedState>,
     /// Endpoints that changed.
     pub endpoints: Vec<Instance>,
-    /// Whether the agent has heard a majority of the controllers since its start.
+    /// Whether the agent has received responses from a majority of the controllers since it started.
     pub is_fresh: bool,
-    /// How many relays there are, if that is known.
+    /// Number of relays, if it is known.
     pub relays: Option<u32>,
-    /// What all relays' calls show of endpoints under suspicion.
+    /// Aggregated evidence of all relays on suspected endpoints.
     pub evidence: Vec<Evidence>,
 }
--- a/crates/onyxstile-system/tests/configuration.rs
+++ b/crates/onyxstile-system/tests/configuration.rs
@@ -48,7 +48,7 @@
     let mut reasons: Vec<String> = list.iter().map(|body| refused(body)).collect();
     reasons.push(refused("[]"));
     expect![[r#"
-        route r names the unknown service u
+        route r refers to the unknown service u
         routes r and q have the same host and prefix
         the weights of route r sum to 0
         the timeout_ms of route r is 0
