--- a/crates/onyxstile-system/tests/configuration.rs
+++ b/crates/onyxstile-system/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Which configurations are valid, and which route a request takes.
+//! Validation of configurations and the choice of a request's route.
 
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn each_kind_of_invalid_configuration_is_refused_with_its_reason() {
+fn rejects_each_kind_of_invalid_configuration() {
     let whole = good(5);
     let refused = |body: &str| parse(body.as_bytes()).expect_err("is invalid").to_string();
     let unknown = configuration(5, &[route("r", "a", "/x/", r#","service":"u""#)]);
@@ -58,13 +58,13 @@
          is not an object"#]]
     .assert_eq(&reasons.join("\n"));
     for length in 0..whole.len() {
-        assert!(parse(&whole.as_bytes()[..length]).is_err(), "cut short at {length}");
+        assert!(parse(&whole.as_bytes()[..length]).is_err(), "truncated at {length}");
     }
     assert!(parse(whole.as_bytes()).is_ok());
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_takes_a_request() {
+fn selects_the_route_with_the_longest_matching_prefix() {
     let body = configuration(
         1,
         &[
@@ -88,16 +88,16 @@
     evaluate(state, &operation, Tolerance::of_machines(1), &[])
 }
 
-/// The state after a change that is taken.
+/// Returns the state after a change that must be accepted.
 fn taken(state: &ControlState, base: u64, body: &str) -> ControlState {
-    let Evaluation::Write(change) = put(state, base, body) else { panic!("is written") };
+    let Evaluation::Write(change) = put(state, base, body) else { panic!("the change is not accepted") };
     let mut next = state.clone();
     assert!(next.apply(&state.write(change)));
     next
 }
 
 #[test]
-fn only_a_valid_change_on_the_newest_version_is_written() {
+fn accepts_only_a_valid_change_to_the_newest_version() {
     let first = taken(&ControlState::default(), 0, &good(2));
     assert_eq!((first.sequence, first.revision()), (1, 2));
     assert_eq!(put(&first, 0, &good(2)), Evaluation::TakenBefore);
@@ -107,41 +107,45 @@
         assert!(matches!(answer, Evaluation::Answer(Outcome::Invalid(_))), "revision {revision}: {answer:?}");
     }
     let second = taken(&first, 2, &good(9));
-    assert_eq!(put(&second, 0, &good(2)), Evaluation::TakenBefore, "also when it has been replaced");
+    assert_eq!(put(&second, 0, &good(2)), Evaluation::TakenBefore, "also after it has been replaced");
     assert_eq!(second.configuration.as_ref().map(|held| held.body.clone()), Some(good(9).into_bytes()));
-    assert!(matches!(put(&second, 9, &good(9)), Evaluation::Answer(Outcome::Invalid(_))), "on another base");
+    assert!(
+        matches!(put(&second, 9, &good(9)), Evaluation::Answer(Outcome::Invalid(_))),
+        "based on another version"
+    );
 }
 
-/// A version may be on its way to whoever sends the next one; that next one, refused and then late, would come into force.
+/// The base version may not have reached this controller yet. If the next change, based on that version, were refused
+/// here but still delivered late, it would take effect after the refusal.
 #[test]
-fn a_change_on_a_version_that_is_not_known_yet_is_left_without_a_clear_answer() {
+fn change_to_an_unknown_version_has_an_unknown_outcome() {
     let first = taken(&ControlState::default(), 0, &good(2));
     assert_eq!(put(&first, 7, &good(9)), Evaluation::Answer(Outcome::Unknown));
 }
 
 #[test]
-fn a_change_that_was_taken_is_never_refused_however_many_followed() {
+fn accepted_change_is_never_refused_later() {
     let mut state = taken(&ControlState::default(), 0, &good(1));
     for base in 1..=REMEMBERED_CHANGES as u64 {
         state = taken(&state, base, &good(base + 1));
     }
     let current = state.revision();
     assert_eq!(state.accepted.len(), REMEMBERED_CHANGES);
-    assert_eq!(put(&state, 0, &good(1)), Evaluation::Answer(Outcome::Unknown), "forgotten");
+    assert_eq!(put(&state, 0, &good(1)), Evaluation::Answer(Outcome::Unknown), "no longer remembered");
     assert_eq!(put(&state, 1, &good(2)), Evaluation::TakenBefore);
     assert_eq!(put(&state, 1, &good(current + 1)), Evaluation::Answer(Outcome::Conflict(current)));
 }
 
 #[test]
-fn a_write_is_made_only_to_the_state_that_it_follows() {
+fn write_applies_only_to_the_state_it_follows() {
     let first = taken(&ControlState::default(), 0, &good(2));
     let other = taken(&ControlState::default(), 0, &good(3));
-    let Evaluation::Write(change) = put(&first, 2, &good(9)) else { panic!("is written") };
+    let Evaluation::Write(change) = put(&first, 2, &good(9)) else { panic!("the change is not accepted") };
     let write = first.write(change);
     let mut target = other.clone();
-    assert!(!target.apply(&write), "one sequence, other writes");
+    assert!(!target.apply(&write), "same sequence, different writes");
     assert_eq!(target, other);
     let mut later = first.clone();
     assert!(later.apply(&write));
-    assert!(!later.apply(&write), "made before");
+    assert!(!later.apply(&write), "already applied");
 }
--- a/crates/onyxstile-system/tests/control_record.rs
+++ b/crates/onyxstile-system/tests/control_record.rs
@@ -1,4 +1,4 @@
-//! What a controller has on its disk, through losses of power, and what one change costs it.
+//! The durable state of a controller under power failures, and the cost of one change.
 
 mod support;
 
@@ -30,7 +30,7 @@
     ControlRecord::open(folder.clone(), folder.clone()).expect("opens")
 }
 
-/// A record whose snapshot follows 9,000 changes: more than are remembered.
+/// A record whose snapshot follows 9,000 changes, which is more than the state remembers.
 fn after_many(folder: &MemoryFolder) -> (ControlRecord<MemoryFolder>, Durable) {
     let mut durable = founder();
     let (mut record, _) = open(folder);
@@ -41,7 +41,7 @@
     (record, durable)
 }
 
-/// Makes the next write and returns it.
+/// Applies the next write to the state and returns it.
 fn next(durable: &mut Durable, bytes: usize) -> Write {
     let write = durable.state.write(change(durable.state.sequence + 1, bytes));
     assert!(durable.state.apply(&write));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_write_outlasts_a_loss_of_power_at_any_later_call() {
+fn write_survives_power_failure_at_any_later_call() {
     for seed in 0..600u64 {
         let mut random = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let folder = MemoryFolder::default();
@@ -77,19 +77,19 @@
 }
 
 #[test]
-fn a_write_of_an_earlier_view_is_not_made_after_a_restart() {
+fn write_of_an_earlier_view_is_not_replayed() {
     let folder = MemoryFolder::default();
     let mut durable = founder();
     let (mut record, _) = open(&folder);
     record.save(&durable).expect("is saved");
     let lost = next(&mut durable, 10);
     record.append(1, &lost).expect("is written");
-    // The next view begins without it: it was never acknowledged.
+    // The next view begins without the write, which was never acknowledged.
     let view = durable.view.clone().expect("a view");
     let later = View { number: 2, ..(*view).clone() };
     let begun = Durable { state: later.state.clone(), view: Some(Rc::new(later)), ..founder() };
     record.save(&begun).expect("is saved");
-    // Its file comes back with a loss of power.
+    // A power failure restores the file of the lost write.
     let mut other = folder.clone();
     let mut bytes = Vec::new();
     let source = MemoryFolder::default();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_snapshot_that_is_torn_or_foreign_is_refused_by_its_name_and_no_older_one_is_taken() {
+fn corrupt_snapshot_is_an_error_without_fallback_to_an_older_one() {
     for spoilt in [&b"short"[..], &[0; 4000]] {
         let mut folder = MemoryFolder::default();
         let (mut record, _) = open(&folder);
@@ -114,9 +114,9 @@
     }
 }
 
-/// A crash while a record was discarded leaves writes without a snapshot; they follow nothing that comes later.
+/// A crash while a record is discarded leaves writes without a snapshot. They must not be applied to a later snapshot.
 #[test]
-fn a_write_that_a_crash_left_behind_is_not_made_to_a_later_snapshot() {
+fn orphaned_write_is_not_replayed_onto_a_later_snapshot() {
     let folder = MemoryFolder::default();
     let mut durable = founder();
     let left = next(&mut durable, 10);
@@ -130,10 +130,10 @@
     assert_eq!(open(&folder).1, Some(durable));
 }
 
-/// One change of 1 KB after 9,000 others costs its own size and some bytes, on the disk and on the wire, whatever the state
-/// holds; the state itself was written with each change before (24 bytes for each change remembered, up to three times).
+/// A change of 1 KB after 9,000 others costs its own size and a few bytes, on disk and on the wire, regardless of the
+/// size of the state. Writing the whole state with each change cost 24 bytes per remembered change, up to three times.
 #[test]
-fn a_change_costs_its_own_size_however_many_went_before() {
+fn cost_of_a_change_is_independent_of_the_number_of_earlier_changes() {
     let folder = MemoryFolder::default();
     let (mut record, mut durable) = after_many(&folder);
     let write = next(&mut durable, 1024);
@@ -146,9 +146,9 @@
     assert!(on_wire < 1024 + 200, "{on_wire} on the wire");
 }
 
-/// Snapshots are so rare that all that is written for many small changes stays within a few times their own size.
+/// Snapshots are rare enough that the total written for many small changes stays within a few times their own size.
 #[test]
-fn snapshots_do_not_make_changes_dear() {
+fn snapshots_add_bounded_write_amplification() {
     let folder = MemoryFolder::default();
     let (mut record, mut durable) = after_many(&folder);
     let snapshot = |folder: &MemoryFolder| -> usize {
@@ -172,12 +172,12 @@
     }
     println!("{own} bytes of changes, {written} written");
     assert!(written < 5 * own, "{written} bytes written for {own}");
-    assert!(folder.list().expect("is listed").len() < 300, "files of writes are removed");
+    assert!(folder.list().expect("is listed").len() < 300, "files of old writes are removed");
 }
 
-/// A member that missed 1,000 changes gets one snapshot: the largest configuration and 8,192 remembered changes.
+/// A member that missed 1,000 changes receives one snapshot, with the largest configuration and 8,192 remembered changes.
 #[test]
-fn what_a_member_that_missed_a_thousand_changes_is_sent_fits_a_frame() {
+fn snapshot_for_a_member_that_missed_a_thousand_changes_fits_a_frame() {
     let mut state = ControlState::default();
     for _ in 0..9_000 {
         let write = state.write(change(state.sequence + 1, 10));
--- a/crates/onyxstile-system/tests/decoders.rs
+++ b/crates/onyxstile-system/tests/decoders.rs
@@ -1,5 +1,5 @@
-//! Every decoder on spoilt input: a seed corpus, changed at random places. Whatever comes of it is an answer, never a panic;
-//! what is taken can be used. `FUZZ_SEED` and `FUZZ_RUNS` set seed and count.
+//! Fuzz tests for all decoders: inputs from a seed corpus are mutated at random positions. A decoder must never panic,
+//! and what it accepts must be usable. `FUZZ_SEED` and `FUZZ_RUNS` set the seed and the number of runs.
 
 mod support;
 
@@ -25,10 +25,10 @@
 use support::variable;
 
 const RUNS: u64 = 4_000;
-/// Room for a log.
+/// Capacity of a log in bytes.
 const LOG_BYTES: u64 = 1024 * 1024;
 
-/// Pieces that a mutation puts in: what separates, nests, overflows or ends early.
+/// Fragments that a mutation inserts: separators, nesting, overflows and early ends.
 const FRAGMENTS: [&[u8]; 24] = [
     b"{",
     b"}",
@@ -60,7 +60,7 @@
     random.next_u64() as usize % bound.max(1)
 }
 
-/// Changes a seed at one to four places.
+/// Mutates a seed at one to four positions.
 fn mutate(random: &mut Pcg64Mcg, seed: &[u8]) -> Vec<u8> {
     let mut bytes = seed.to_vec();
     for _ in 0..1 + below(random, 4) {
@@ -85,7 +85,7 @@
     bytes
 }
 
-/// Calls `decode` on spoilt forms of each seed.
+/// Calls `decode` with mutations of each seed.
 fn fuzz(seeds: &[Vec<u8>], mut decode: impl FnMut(&[u8])) {
     let mut random = Pcg64Mcg::new(u128::from(variable("FUZZ_SEED", 1)) << 1 | 1);
     for _ in 0..variable("FUZZ_RUNS", RUNS) {
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn values_nested_without_end_are_refused_and_not_followed() {
+fn rejects_deeply_nested_values() {
     for open in ["[", "{\"a\":", "[{\"a\":"] {
         let deep = open.repeat(1_000_000);
         assert!(json::parse(&deep).is_err(), "{open}");
@@ -122,9 +122,9 @@
     let closed = format!("{}{}", "[".repeat(100_000), "]".repeat(100_000));
     assert!(json::parse(&closed).is_err());
     let in_text = format!("[\"{}\\\"{}\"]", "[".repeat(500), "{".repeat(500));
-    assert!(json::parse(&in_text).is_ok(), "brackets in a text nest nothing");
+    assert!(json::parse(&in_text).is_ok(), "brackets in a string do not nest");
     let wide = format!("[{}[]]", "[[]],".repeat(50_000));
-    assert!(json::parse(&wide).is_ok(), "many values side by side are no depth");
+    assert!(json::parse(&wide).is_ok(), "many adjacent values are not deep nesting");
 }
 
 #[test]
@@ -180,7 +180,7 @@
         let mut splitter = Splitter::default();
         let events = splitter.push(bytes);
         let passed: Vec<u8> = events.iter().flat_map(|event| event.bytes.clone()).collect();
-        assert!(bytes.starts_with(&passed), "what is passed on is what came");
+        assert!(bytes.starts_with(&passed), "the events are a prefix of the input");
         assert_eq!(passed.len() == bytes.len(), splitter.is_empty());
     });
 }
@@ -231,10 +231,10 @@
     seeds.extend(responses.iter().map(wire::encode));
     fuzz(&seeds, |bytes| {
         if let Ok(request) = wire::decode::<Request>(bytes) {
-            assert_eq!(wire::encode(&request), bytes, "one form for each message");
+            assert_eq!(wire::encode(&request), bytes, "each message has one encoding");
         }
         if let Ok(response) = wire::decode::<Response>(bytes) {
-            assert_eq!(wire::encode(&response), bytes, "one form for each message");
+            assert_eq!(wire::encode(&response), bytes, "each message has one encoding");
         }
         drop(wire::decode::<Message>(bytes));
         drop(wire::decode::<Datagram>(bytes));
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn files_of_the_disk_folder() {
+fn record_log_segments() {
     let records: Vec<(u64, Vec<u8>)> =
         (0..6u8).map(|number| (u64::from(number), vec![number; 5 + usize::from(number) * 9])).collect();
     let disk = SimDisk::default();
@@ -259,7 +259,10 @@
         let mut found = Vec::new();
         // A log of a newer format is refused.
         RecordLog::open(disk, LOG_BYTES, |number, bytes| found.push((number, bytes.to_vec()))).ok();
-        assert!(found.iter().all(|record| records.contains(record)), "a record that nobody wrote: {found:?}");
+        assert!(
+            found.iter().all(|record| records.contains(record)),
+            "a record that was never written: {found:?}"
+        );
     });
 }
 
@@ -281,7 +284,7 @@
 }
 
 #[test]
-fn claims_whose_sum_is_no_number_fit_no_budget() {
+fn claims_with_an_overflowing_sum_fit_no_budget() {
     let claims = [entry("a", u64::MAX / 2 + 1), entry("b", u64::MAX / 2 + 1)];
     assert!(!fits(1_000, "c", 10, &claims));
     assert!(!fits(1_000, "c", u64::MAX, &[]));
--- a/crates/onyxstile-system/tests/deploy_files.rs
+++ b/crates/onyxstile-system/tests/deploy_files.rs
@@ -1,10 +1,11 @@
-//! The deploy files: what a machine that has nothing but the Rust toolchain needs for a clean build.
+//! The deploy files list the packages for a clean build on a machine that has only the Rust toolchain.
 
 use std::path::Path;
 
-/// A machine without a C compiler and the C library's start files cannot link; both lists were empty.
+/// Guards against empty package lists in both deploy files: a machine without a C compiler and the start files of the C
+/// library cannot link.
 #[test]
-fn both_deploy_files_list_the_packages_that_a_clean_build_needs() {
+fn deploy_files_list_the_packages_for_a_clean_build() {
     for file in ["system.toml", "balancer.toml"] {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy").join(file);
         let text = std::fs::read_to_string(&path).expect("the deploy file");
--- a/crates/onyxstile-system/tests/record_log.rs
+++ b/crates/onyxstile-system/tests/record_log.rs
@@ -1,4 +1,4 @@
-//! The log of numbered records through losses of power, kills, refused calls, a full disk and spoilt files.
+//! The record log under power failures, kills, refused calls, a full disk and corrupt files.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -30,7 +30,7 @@
     PowerLost,
 }
 
-/// What one history showed: whether the log was sound at each start.
+/// Runs one history and returns whether the log was intact at each start.
 fn history(seed: u64, end: End) -> bool {
     let mut random = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
     let disk = SimDisk::default();
@@ -50,7 +50,11 @@
             );
         }
         for (number, bytes) in &found {
-            assert_eq!(*bytes, value(*number), "seed {seed}, incarnation {incarnation}: nobody wrote that");
+            assert_eq!(
+                *bytes,
+                value(*number),
+                "seed {seed}, incarnation {incarnation}: wrong content of {number}"
+            );
             assert!(*number < next, "seed {seed}, incarnation {incarnation}: {number} was never written");
         }
         disk.fail(random.next_u64() % 90, Fault::Killed(random.next_u32() % 1_001));
@@ -66,7 +70,7 @@
                 let number = *kept.iter().next().expect("there is one");
                 kept.remove(&number);
                 dropped.insert(number);
-                // What the disk refuses is dropped later.
+                // A removal that the disk refuses is retried later.
                 log.drop_records(vec![number]).ok();
             }
             for number in kept.iter().rev().take(2) {
@@ -83,21 +87,24 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlasts_a_loss_of_power_at_any_call() {
+fn acknowledged_records_survive_power_failure_at_any_call() {
     for seed in 0..600 {
-        assert!(history(seed, End::PowerLost), "seed {seed}: a loss of power is taken for a loss of records");
+        assert!(
+            history(seed, End::PowerLost),
+            "seed {seed}: a power failure was reported as a loss of records"
+        );
     }
 }
 
 #[test]
-fn what_was_acknowledged_outlasts_a_kill_at_any_call() {
+fn acknowledged_records_survive_a_kill_at_any_call() {
     for seed in 0..300 {
-        assert!(history(seed, End::Killed), "seed {seed}: a kill is taken for a loss of records");
+        assert!(history(seed, End::Killed), "seed {seed}: a kill was reported as a loss of records");
     }
 }
 
 #[test]
-fn a_write_that_is_refused_harms_no_other() {
+fn refused_write_does_not_affect_other_records() {
     for fault in [Fault::Refused, Fault::Torn(300), Fault::Torn(1_000)] {
         for call in 0..40 {
             let disk = SimDisk::default();
@@ -109,7 +116,7 @@
                     kept.push(number);
                 }
             }
-            assert!(kept.len() >= 38, "{fault:?} at {call}: it goes on after one refusal");
+            assert!(kept.len() >= 38, "{fault:?} at {call}: writing continues after one refusal");
             disk.lose_power(|below| below - 1);
             let (opened, found) = open(&disk, LIMIT);
             assert!(opened.is_intact, "{fault:?} at {call}");
@@ -120,7 +127,7 @@
 }
 
 #[test]
-fn a_full_disk_refuses_what_is_new_keeps_the_rest_and_takes_more_once_some_is_dropped() {
+fn full_disk_refuses_new_records_until_others_are_dropped() {
     let disk = SimDisk::default();
     let (OpenedLog { mut log, .. }, _) = open(&disk, LIMIT);
     let big = |number: u64| vec![number as u8; 20_000];
@@ -130,10 +137,10 @@
             kept.push(number);
         }
     }
-    assert!((10..59).contains(&kept.len()), "{} records were taken", kept.len());
+    assert!((10..59).contains(&kept.len()), "{} records were accepted", kept.len());
     assert!(log.used_bytes() <= LIMIT);
     log.drop_records(kept.drain(..8).collect()).expect("drops");
-    log.append(vec![(100, big(100))]).expect("there is room again");
+    log.append(vec![(100, big(100))]).expect("there is space again");
     kept.push(100);
     let (opened, found) = open(&disk, LIMIT);
     assert!(opened.is_intact);
@@ -141,7 +148,7 @@
 }
 
 #[test]
-fn room_is_bounded_while_records_come_and_go() {
+fn disk_usage_is_bounded_while_records_are_added_and_dropped() {
     let disk = SimDisk::default();
     let (OpenedLog { mut log, .. }, _) = open(&disk, LIMIT);
     for number in 0..3_000u64 {
@@ -156,7 +163,7 @@
 }
 
 #[test]
-fn a_record_of_the_largest_size_is_written_and_read() {
+fn writes_and_reads_a_record_of_maximum_size() {
     let disk = SimDisk::default();
     let limit = 256 * 1024 * 1024;
     let (OpenedLog { mut log, .. }, _) = open(&disk, limit);
@@ -168,7 +175,7 @@
     assert_eq!(found, records.into_iter().collect());
 }
 
-/// A log of several segments, and its files' names.
+/// A log of several segments, and the records that it holds.
 fn written() -> (SimDisk, Contents) {
     let disk = SimDisk::default();
     let (OpenedLog { mut log, .. }, _) = open(&disk, LIMIT);
@@ -181,7 +188,7 @@
 }
 
 #[test]
-fn a_spoilt_place_in_the_middle_is_a_loss_until_it_is_accepted() {
+fn corruption_in_the_middle_is_a_loss_until_it_is_accepted() {
     let (disk, contents) = written();
     let mut first = disk.bytes("000000000001.seg").expect("is there");
     let middle = first.len() / 2;
@@ -189,7 +196,7 @@
     disk.set("000000000001.seg", first);
     for _ in 0..2 {
         let (opened, found) = open(&disk, LIMIT);
-        assert!(!opened.is_intact, "it is said at each start");
+        assert!(!opened.is_intact, "the loss is reported at each start");
         assert!(found.iter().all(|(number, bytes)| contents[number] == *bytes));
         assert!(found.len() < contents.len());
     }
@@ -202,11 +209,11 @@
 }
 
 #[test]
-fn a_torn_end_is_no_loss() {
+fn truncated_end_is_not_a_loss() {
     let (disk, _) = written();
     let (_, whole) = open(&disk, LIMIT);
     let last = (1..9).rev().map(|id| format!("{id:012}.seg")).find(|name| disk.bytes(name).is_some());
-    let last = last.expect("there is a segment");
+    let last = last.expect("a segment");
     let bytes = disk.bytes(&last).expect("is there");
     disk.set(&last, bytes[..bytes.len() - 10].to_vec());
     let (opened, found) = open(&disk, LIMIT);
--- a/crates/onyxstile-system/tests/storage_contract.rs
+++ b/crates/onyxstile-system/tests/storage_contract.rs
@@ -1,4 +1,4 @@
-//! What every folder has to do, and what versions make of a loss of power at any call.
+//! The contract of a folder, and versions of a record under a power failure at any call.
 
 mod support;
 
@@ -26,19 +26,19 @@
 }
 
 #[test]
-fn the_folder_in_memory_keeps_the_contract() {
+fn memory_folder_fulfils_the_contract() {
     contract(MemoryFolder::default());
 }
 
 #[test]
-fn the_real_folder_keeps_the_contract() {
+fn real_folder_fulfils_the_contract() {
     let path = std::env::temp_dir().join(format!("onyxstile-folder-{}", std::process::id()));
     contract(RealFolder::open(path.clone()).expect("opens"));
     std::fs::remove_dir_all(path).expect("is removed");
 }
 
 #[test]
-fn a_version_that_was_written_outlasts_a_loss_of_power_at_any_later_call() {
+fn version_survives_power_failure_at_any_later_call() {
     for seed in 0..400u64 {
         let mut random = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let folder = MemoryFolder::default();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn records_of_two_names_share_a_folder() {
+fn records_with_different_names_share_a_folder() {
     let folder = MemoryFolder::default();
     let (mut one, _) = Versions::open(folder.clone(), "one").expect("opens");
     let (mut other, _) = Versions::open(folder.clone(), "one-more").expect("opens");
--- a/crates/onyxstile-system/tests/storage_plan.rs
+++ b/crates/onyxstile-system/tests/storage_plan.rs
@@ -1,4 +1,4 @@
-//! How the storage plan follows losses, newcomers and retirements.
+//! How the storage plan follows losses, new machines and retirements.
 
 mod support;
 
@@ -17,19 +17,19 @@
 }
 
 #[test]
-fn the_first_plan_waits_for_enough_machines_and_not_for_ever() {
+fn first_plan_waits_for_enough_machines_until_a_timeout() {
     let two = [observation(1, None, 0), observation(2, None, 0)];
     assert_eq!(StoragePlan::first(&two, ONE, false), None);
     let three = [observation(1, None, 0), observation(2, None, 0), observation(3, None, 0)];
     let first = StoragePlan::first(&three, ONE, false).expect("a plan");
     assert_eq!((first.epoch, first.size, first.is_changing()), (1, 3, false));
-    let small = StoragePlan::first(&two, ONE, true).expect("a plan of what is there");
+    let small = StoragePlan::first(&two, ONE, true).expect("a plan of the present machines");
     assert_eq!(names(&small), ["storage-1", "storage-2"]);
-    assert_eq!(StoragePlan::first(&two[..1], ONE, true), None, "one copy bears no loss");
+    assert_eq!(StoragePlan::first(&two[..1], ONE, true), None, "one copy tolerates no loss");
 }
 
 #[test]
-fn a_newcomer_is_taken_in_and_the_change_ends_once_all_are_synced() {
+fn new_member_is_added_and_the_change_ends_once_all_are_in_sync() {
     let before = plan(1, &[1, 2, 3], &[]);
     let mut observed = vec![
         observation(1, None, 1),
@@ -40,15 +40,16 @@
     let changing = before.next(&observed, ONE).expect("a change");
     assert_eq!(names(&changing), ["storage-1", "storage-2", "storage-3", "storage-4"]);
     assert_eq!(changing.previous, before.current);
-    assert_eq!(changing.next(&observed, ONE), None, "the newcomer holds nothing yet");
+    assert_eq!(changing.next(&observed, ONE), None, "the new member holds nothing yet");
     observed.iter_mut().for_each(|observation| observation.synced_epoch = changing.epoch);
     let ended = changing.next(&observed, ONE).expect("the end of the change");
     assert_eq!((ended.epoch, ended.is_changing()), (3, false));
 }
 
-/// kartli-relay, mix, seed 999535191825: the dead one stayed for 20 s, a second loss took groups their quorum.
+/// Guards against a second loss while a dead machine stays a member for 20 s: groups lost their quorum. Found by
+/// kartli-relay, mix, seed 999535191825.
 #[test]
-fn a_dead_machine_whose_successor_is_there_is_dropped_before_another_may_be_lost() {
+fn dead_machine_with_a_replacement_is_removed_quickly() {
     let mut grown = plan(3, &[1, 2, 3, 4, 5], &[]);
     grown.size = 4;
     let observed = [
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn a_dead_machine_without_successor_is_waited_for() {
+fn dead_machine_without_a_replacement_is_removed_late() {
     let complete = plan(1, &[1, 2, 3, 4], &[]);
     let observed = |dead| {
         [
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn a_newcomer_that_dies_before_it_holds_anything_is_taken_out_again() {
+fn new_member_that_dies_before_it_is_in_sync_is_removed() {
     let mut changing = plan(2, &[1, 2, 3, 4], &[1, 2, 3]);
     changing.size = 3;
     let observed = [
@@ -94,26 +95,26 @@
     ];
     let next = changing.next(&observed, ONE).expect("a change");
     assert_eq!(names(&next), ["storage-1", "storage-2", "storage-3"]);
-    assert!(!next.is_changing(), "the members are what they were");
+    assert!(!next.is_changing(), "the members are unchanged");
 }
 
 #[test]
-fn retirement_is_completed_only_once_the_change_has_ended() {
+fn retirement_completes_once_the_change_has_ended() {
     let complete = plan(1, &[1, 2, 3, 4], &[]);
     assert_eq!(complete.retire("storage-9", ONE, &[]), Err(RetireRefusal::Unknown));
     assert_eq!(plan(1, &[1, 2, 3], &[]).retire("storage-1", ONE, &[]), Err(RetireRefusal::TooFew));
-    let changing = complete.retire("storage-2", ONE, &[]).expect("may go").expect("a change");
-    assert_eq!(changing.retire("storage-2", ONE, &[]), Ok(None), "the same order again");
+    let changing = complete.retire("storage-2", ONE, &[]).expect("may be retired").expect("a change");
+    assert_eq!(changing.retire("storage-2", ONE, &[]), Ok(None), "the same request again");
     assert_eq!(changing.is_retirement_complete("storage-2"), Some(false));
     let observed: Vec<Observed> = (1..=4).map(|number| observation(number, None, changing.epoch)).collect();
     let ended = changing.next(&observed, ONE).expect("the end of the change");
     assert_eq!(ended.is_retirement_complete("storage-2"), Some(true));
     assert_eq!(ended.is_retirement_complete("storage-1"), None);
-    assert_eq!(ended.next(&observed, ONE), None, "a retired machine that still runs takes no part");
+    assert_eq!(ended.next(&observed, ONE), None, "a retired machine that still runs is ignored");
 }
 
 #[test]
-fn a_change_ends_without_a_dead_member_only_if_the_loss_is_tolerated() {
+fn change_ends_without_a_dead_member_only_if_the_loss_is_tolerated() {
     let changing = plan(2, &[1, 2, 3, 4], &[1, 2, 3, 5]);
     let one_dead = [
         observation(1, None, 2),
@@ -128,7 +129,7 @@
     assert_eq!(changing.next(&alive_but_behind, ONE), None);
 }
 
-/// Two machines in zone a, one in each of b and c; the loss of a zone is to be borne.
+/// Two machines in zone a and one in each of b and c, with the loss of a zone to be tolerated.
 fn shared_zone() -> (StoragePlan, Tolerance) {
     let mut shared_zone = plan(1, &[1, 2, 3, 4], &[]);
     let zones = ["a", "a", "b", "c"];
@@ -138,11 +139,11 @@
 }
 
 #[test]
-fn no_machine_is_given_up_whose_zone_alone_holds_a_copy() {
+fn last_machine_of_a_zone_is_not_removed() {
     let (shared_zone, zone) = shared_zone();
     assert_eq!(shared_zone.retire("storage-3", zone, &[]), Err(RetireRefusal::TooFew));
-    assert!(shared_zone.retire("storage-3", ONE, &[]).is_ok(), "machines alone may be lost");
-    assert!(shared_zone.retire("storage-1", zone, &[]).is_ok(), "its zone has another");
+    assert!(shared_zone.retire("storage-3", ONE, &[]).is_ok(), "only the loss of machines is tolerated");
+    assert!(shared_zone.retire("storage-1", zone, &[]).is_ok(), "its zone has another machine");
     let observed: Vec<Observed> = (1..)
         .zip(&shared_zone.current)
         .map(|(number, node)| Observed {
@@ -151,12 +152,12 @@
             synced_epoch: 1,
         })
         .collect();
-    assert_eq!(shared_zone.next(&observed, zone), None, "zone c is waited for");
+    assert_eq!(shared_zone.next(&observed, zone), None, "the machine in zone c is kept");
     assert!(shared_zone.next(&observed, ONE).is_some());
 }
 
 #[test]
-fn a_change_ends_while_a_zone_is_away_only_if_zones_may_be_lost() {
+fn change_ends_without_a_zone_only_if_the_loss_of_a_zone_is_tolerated() {
     let (mut changing, zone) = shared_zone();
     changing.previous = changing.current[..3].to_vec();
     let observed: Vec<Observed> = changing
@@ -169,23 +170,24 @@
         })
         .collect();
     assert!(changing.next(&observed, zone).is_some_and(|plan| !plan.is_changing()));
-    assert_eq!(changing.next(&observed, ONE), None, "two machines are one too many");
+    assert_eq!(changing.next(&observed, ONE), None, "the loss of two machines is not tolerated");
 }
 
-/// tests/tier_histories.rs, seeds 2931 and 2190: 102 was gone, its successor a member or retired in its place, then another was
-/// lost; of the three that were settled one was left, and no quorum ever again.
+/// Guards against a loss of quorum that is permanent: machine 102 was dead while its replacement was a member or was
+/// retired instead of it, and then another machine was lost, which left one of the three committed members. Found by
+/// tests/tier_histories.rs, seeds 2931 and 2190.
 #[test]
-fn no_machine_is_retired_while_a_dead_one_makes_the_rest_too_few() {
+fn retirement_is_refused_while_too_few_live_machines_would_remain() {
     let four = plan(3, &[1, 2, 3, 4], &[]);
     let dead = ["storage-2".to_owned()];
     assert_eq!(four.retire("storage-1", ONE, &dead), Err(RetireRefusal::TooFewAlive));
     assert!(four.retire("storage-1", ONE, &[]).is_ok());
     let larger = plan(2, &[1, 2, 3, 4, 5], &[]);
-    assert!(larger.retire("storage-1", ONE, &dead).is_ok(), "three alive are left");
+    assert!(larger.retire("storage-1", ONE, &dead).is_ok(), "three live machines remain");
 }
 
 #[test]
-fn a_member_that_leaves_is_kept_until_every_other_has_copied_while_it_is_there() {
+fn live_leaving_member_is_kept_until_all_others_are_in_sync() {
     let mut changing = plan(2, &[2, 3, 4], &[1, 2, 3]);
     changing.retired = vec!["storage-1".into()];
     let observed = |leaving| {
@@ -196,19 +198,23 @@
             observation(4, None, 2),
         ]
     };
-    assert_eq!(changing.next(&observed(None), ONE), None, "3 may return; 1 goes with its disk at the end");
+    assert_eq!(
+        changing.next(&observed(None), ONE),
+        None,
+        "3 may return; 1 is removed with its disk at the end"
+    );
     assert!(changing.next(&observed(Some(5_000)), ONE).is_some_and(|plan| !plan.is_changing()));
 }
 
 #[test]
-fn no_machine_is_retired_while_a_change_is_under_way() {
+fn retirement_is_refused_while_a_change_is_in_progress() {
     let changing = plan(2, &[1, 2, 3, 4], &[1, 2, 3]);
     assert_eq!(changing.retire("storage-4", ONE, &[]), Err(RetireRefusal::Changing));
     assert_eq!(changing.retire("storage-9", ONE, &[]), Err(RetireRefusal::Unknown));
 }
 
 #[test]
-fn a_machine_with_another_disk_takes_the_place_of_what_it_was_and_the_change_ends_once_it_has_copied() {
+fn machine_with_a_new_disk_replaces_its_former_member_once_in_sync() {
     let before = plan(1, &[1, 2, 3], &[]);
     let mut wiped = observation(1, None, 0);
     wiped.node.disk = 7;
--- a/crates/onyxstile-system/tests/subscription.rs
+++ b/crates/onyxstile-system/tests/subscription.rs
@@ -1,5 +1,5 @@
-//! Polls of controllers: one that is not sure of what it holds answers at once and is asked again without haste; the state
-//! comes from one of them, another for each machine, and from any other where that one is late.
+//! Polling of controllers. A controller that is not settled answers at once and is polled again after a pause. The state
+//! is fetched from one controller, a different one for each machine, and from any other if that one is slow.
 
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -16,7 +16,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// Polls that are waited for; between any two lies a pause of 40 ms.
+/// Number of polls to wait for. There is a pause of 40 ms between any two.
 const POLLS: u32 = 12;
 const MIN_DURATION: Duration = Duration::from_millis(300);
 
@@ -39,7 +39,7 @@
     settings_at(Ipv4Addr::LOCALHOST, controller)
 }
 
-/// The settings of a machine with the address `own`, which only its choice of a source follows from.
+/// Settings of a machine with the address `own`, which determines only the controller that it fetches the state from.
 fn settings_at(own: Ipv4Addr, controller: SocketAddrV4) -> Settings {
     let (ip, port) = (controller.ip(), controller.port());
     let text = format!(
@@ -49,10 +49,10 @@
     Settings::parse(Path::new("boot.toml"), &text).expect("settings")
 }
 
-/// By reading: a controller that has lost its disk may be unsure for as long as another is dark, and was asked again in the
-/// same moment, some hundred times a second by each relay.
+/// A controller that lost its disk may stay unsettled while another one is unreachable. Without a pause each relay polled
+/// it some hundred times per second. Found by code review.
 #[test]
-fn a_controller_that_is_not_sure_is_not_asked_without_end() {
+fn unsettled_controller_is_not_polled_in_a_tight_loop() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
@@ -78,12 +78,12 @@
     });
 }
 
-/// The control state that the controllers of these tests hold.
+/// Sequence of the control state that the controllers of these tests hold.
 const SEQUENCE: u64 = 5;
-/// Machines that follow them.
+/// Number of machines that follow the controllers.
 const FOLLOWERS: u8 = 30;
 
-/// Controllers at addresses of the loopback network, all on one port; how many states each has sent.
+/// Controllers at loopback addresses with the same port, and the number of states that each has sent.
 struct Controllers {
     addresses: Vec<Ipv4Addr>,
     port: u16,
@@ -91,7 +91,7 @@
 }
 
 impl Controllers {
-    /// `sends` says whether a controller sends the state when it is asked for it.
+    /// `sends` returns whether a controller sends the state when it is requested.
     async fn start(sends: fn(usize) -> bool) -> Controllers {
         let addresses: Vec<Ipv4Addr> = (1..=3).map(|number| Ipv4Addr::new(127, 0, 7, number)).collect();
         let first = TcpListener::bind((addresses[0], 0)).await.expect("a port");
@@ -121,7 +121,7 @@
         Controllers { addresses, port, sent }
     }
 
-    /// Follows the controllers until the newest state is there and a majority has been heard.
+    /// Follows the controllers until the newest state has arrived and a majority has responded.
     async fn follow(&self, own: Ipv4Addr) {
         let seed = SocketAddrV4::new(self.addresses[0], self.port);
         let settings = Rc::new(RefCell::new(settings_at(own, seed)));
@@ -129,13 +129,13 @@
         let mut news = subscription::follow(settings, Client::default(), wishes);
         let mut held = 0;
         loop {
-            match news.recv().await.expect("news") {
+            match news.recv().await.expect("an update") {
                 News::State(published) => held = published.sequence,
                 News::Fresh => break,
                 _ => {}
             }
         }
-        assert_eq!(held, SEQUENCE, "it has what it was told of when it counts as fresh");
+        assert_eq!(held, SEQUENCE, "it holds the newest reported state when it counts as fresh");
     }
 }
 
@@ -154,10 +154,10 @@
     tokio::task::LocalSet::new().block_on(&runtime, scenario);
 }
 
-/// mncg-onyx-grown, trouble-1, in a trial: all relays fetched the configuration from the controller that was sure first, over
-/// its one link; they were ready 0.6 s after it.
+/// Guards against all relays fetching the configuration from the controller that is settled first, over its single link:
+/// they became ready 0.6 s after it. Found by mncg-onyx-grown, trouble-1, in a trial.
 #[test]
-fn the_state_goes_out_from_all_controllers_alike() {
+fn state_downloads_are_spread_over_all_controllers() {
     run(async {
         let controllers = Controllers::start(|_| true).await;
         for number in 1..=FOLLOWERS {
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_state_that_its_source_does_not_send_comes_from_another() {
+fn state_is_fetched_from_another_controller_if_the_source_does_not_send_it() {
     run(async {
         let controllers = Controllers::start(|index| index == 1).await;
         for number in 1..=6 {
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn the_first_poll_asks_for_no_state_and_is_not_held() {
+fn first_poll_requests_no_state_and_does_not_wait() {
     run(async {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
         let port = listener.local_addr().expect("its address").port();
--- a/crates/onyxstile-system/tests/support/memory_folder.rs
+++ b/crates/onyxstile-system/tests/support/memory_folder.rs
@@ -1,4 +1,4 @@
-//! A folder in memory that loses what was not synced when its power goes, and fails when it is told to.
+//! A folder in memory that loses unsynced data in a simulated power failure and returns injected errors.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,11 +13,11 @@
 struct File {
     bytes: Vec<u8>,
     synced: usize,
-    /// The name lasts.
+    /// Whether the name is durable.
     is_name_synced: bool,
 }
 
-/// A change of names that the folder has not synced yet.
+/// A rename or removal that has not been synced yet.
 #[derive(Clone)]
 enum NameChange {
     Renamed { from: String, to: String, replaced: Option<File> },
@@ -34,30 +34,31 @@
     is_full: bool,
 }
 
-/// A folder; clones share it.
+/// A folder in memory. Clones share its state.
 #[derive(Default, Clone)]
 pub struct MemoryFolder {
     state: Rc<RefCell<State>>,
 }
 
 impl MemoryFolder {
-    /// The power fails at the `call`th call that changes anything.
+    /// Lets the power fail at the `call`th modifying call from now.
     pub fn fail_power_at(&self, call: u64) {
         let mut state = self.state.borrow_mut();
         state.power_fails_at = Some(state.calls + call);
     }
 
-    /// The disk takes no more bytes, or takes them again.
+    /// Sets whether the disk is full and refuses further bytes.
     pub fn set_full(&self, is_full: bool) {
         self.state.borrow_mut().is_full = is_full;
     }
 
-    /// Calls that have changed anything.
+    /// Number of modifying calls so far.
     pub fn calls(&self) -> u64 {
         self.state.borrow().calls
     }
 
-    /// Power returns: what was synced is there; each later write is present, torn or missing, each name kept or lost.
+    /// Restores the power. Synced data is present; each later write is complete, truncated or missing, and each unsynced
+    /// name change is kept or lost.
     pub fn restore_power(&self, random: &mut Pcg64Mcg) {
         let mut state = self.state.borrow_mut();
         state.is_power_off = false;
--- a/crates/onyxstile-system/tests/support/tier_simulation.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation.rs
@@ -1,5 +1,6 @@
-//! Controllers, their drains, the storage plan, storage machines, turns and claims in one seeded run: views and plans change,
-//! disks are lost and machines are cut off across each other. Checkers state LOST, BUDGET, DRAIN and the return of service.
+//! Seeded simulation of controllers, drains, the storage plan, storage machines, turns and claims. Views and plans
+//! change, disks are lost, and machines are cut off from each other. Checkers verify LOST, BUDGET, DRAIN and the return
+//! of service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -24,29 +25,29 @@
 mod plans;
 mod requests;
 
-/// Time from one step to the next, in ms.
+/// Time per step in ms.
 const STEP: u64 = 25;
-/// How long a relay waits for a quorum.
+/// How long a relay waits for a quorum, in ms.
 const QUORUM_TIMEOUT: u64 = 3000;
-/// A machine is held dead this long after it fell silent.
+/// A machine is considered dead after this time without contact, in ms.
 const DETECTION: u64 = 1000;
-/// A storage machine's report counts for this long.
+/// How long the report of a storage machine is valid, in ms.
 const REPORT_LIFETIME: u64 = 2000;
-/// Relays; all but the first hear of a newer plan once in a long time.
+/// Number of relays. All but the first one receive a newer plan only rarely.
 const RELAYS: usize = 3;
 const LATE_UPDATE_ONE_IN: u32 = 400;
-/// Of so many steps a storage machine asks another for changes in one, as a rule.
+/// A storage machine requests changes from another one in one of this many steps, by default.
 pub const COPIES_ONE_IN: u32 = 3;
-/// Numbers of storage machines begin here.
+/// Number of the first storage machine.
 const FIRST_STORE: u8 = 101;
-/// The budget of each program, in tokens.
+/// The budget of each program in tokens.
 const BUDGET: u64 = 400;
 
 struct Copying {
     at: u64,
     to: Ipv4Addr,
     from: Ipv4Addr,
-    /// The process that asked.
+    /// Incarnation of the requesting process.
     incarnation: u64,
     before: Source,
     changes: Changes,
@@ -60,14 +61,14 @@
     copies: Copies,
 }
 
-/// All machines.
+/// All simulated machines.
 pub struct TierSimulation {
     pub control: World,
     pub stores: BTreeMap<Ipv4Addr, Store>,
     pub violations: Vec<String>,
     tolerance: Tolerance,
     flaw: StoreFlaw,
-    /// What each relay goes by; some hear of changes late.
+    /// The plan that each relay uses. Some receive changes late.
     relays: Vec<Rc<StoragePlan>>,
     reports: BTreeMap<Ipv4Addr, (u64, u64)>,
     dead_since: BTreeMap<Ipv4Addr, u64>,
@@ -84,9 +85,9 @@
     last_incarnation: u64,
     planned_at: u64,
     stable_since: u64,
-    /// Of so many steps a storage machine asks another for changes in one.
+    /// A storage machine requests changes from another one in one of this many steps.
     pub copies_one_in: u32,
-    /// What happened, counted, so that a test can ask for it.
+    /// Counts of events, so that a test can require them.
     pub event_counts: BTreeMap<&'static str, u64>,
 }
 
@@ -152,7 +153,7 @@
         self.last_incarnation
     }
 
-    /// A storage machine that holds nothing joins.
+    /// Adds an empty storage machine.
     pub fn add_store(&mut self, is_first_start: bool) -> Ipv4Addr {
         let node = storage(self.next_store);
         self.next_store += 1;
@@ -171,7 +172,7 @@
         members[self.random_below(members.len() as u32) as usize]
     }
 
-    /// Disks that count as lost.
+    /// Number of disks that count as lost.
     pub fn disks_lost(&self) -> usize {
         self.stores.values().filter(|store| store.is_disk_lost).count() + self.control.disks_lost()
     }
@@ -191,7 +192,7 @@
         self.kill_store(ip, for_ms);
     }
 
-    /// A storage machine is gone for good, an empty one comes at another address.
+    /// Removes a storage machine permanently and adds an empty one at another address.
     pub fn replace_store(&mut self, ip: Ipv4Addr) {
         if let Some(store) = self.stores.get_mut(&ip) {
             store.is_gone = true;
@@ -201,7 +202,7 @@
         self.stable_since = self.now();
     }
 
-    /// The operator asks that a storage machine be emptied.
+    /// Retires a storage machine at the operator's request.
     pub fn retire(&mut self, ip: Ipv4Addr) {
         let name = self.stores[&ip].node.name.clone();
         let to = self.control.pick();
@@ -224,14 +225,14 @@
         for (order, outcome) in self.control.take_outcomes() {
             let Some(name) = self.retirement_polls.remove(&order) else { continue };
             if outcome == Outcome::Retirement(true) {
-                self.count_event("machines taken away with their disks after they were retired");
+                self.count_event("machines removed with their disks after retirement");
                 let store = self.stores.values_mut().find(|store| store.node.name == name);
                 store.into_iter().for_each(|store| store.is_gone = true);
             }
         }
     }
 
-    /// Ends all that lasts.
+    /// Ends all lasting faults.
     pub fn heal(&mut self, within: u64) {
         self.control.heal(within);
         let now = self.now();
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for a time.
     pub fn run(&mut self, for_ms: u64) {
         for _ in 0..for_ms / STEP {
             self.control.run(STEP);
@@ -279,7 +280,7 @@
         }
     }
 
-    /// Whether a storage machine and a controller, or two storage machines, reach each other.
+    /// Whether a storage machine can communicate with controllers and other storage machines.
     fn is_reachable(&self, ip: Ipv4Addr) -> bool {
         let now = self.now();
         self.stores
@@ -287,7 +288,7 @@
             .is_some_and(|store| store.is_up(now) && store.cut_until.max(store.dark_until) <= now)
     }
 
-    /// Whether relays reach a storage machine.
+    /// Whether relays can reach a storage machine.
     fn is_reachable_by_relays(&self, ip: Ipv4Addr) -> bool {
         let now = self.now();
         self.stores.get(&ip).is_some_and(|store| store.is_up(now) && store.dark_until <= now)
@@ -295,20 +296,20 @@
 
     fn track_stability(&mut self) {
         let now = self.now();
-        // Machines that copy so slowly are not back.
+        // Machines that copy this slowly do not count as returned.
         let is_slow = self.copies_one_in > COPIES_ONE_IN;
         if is_slow || !self.stores.values().all(|store| store.is_in_touch(now)) {
             self.stable_since = now;
         }
-        // Disks count as lost until all machines have been in touch for the time that a return takes.
+        // Disks count as lost until all machines have been in contact for the time that restart recovery takes.
         if now >= self.stable_since + CATCH_UP && self.control.is_calm() {
             self.stores.values_mut().for_each(|store| store.is_disk_lost = false);
         }
     }
 
-    /// Whether turns are kept again and no change of the plan is under way.
+    /// Whether turns are stored again and no change of the plan is in progress.
     pub fn is_serving(&mut self) -> bool {
-        let before = self.event_counts.get("turns kept").copied().unwrap_or(0);
+        let before = self.event_counts.get("turns stored").copied().unwrap_or(0);
         let newest = self.relays[0].clone();
         self.relays.fill(newest);
         for _ in 0..8 {
@@ -316,21 +317,21 @@
             self.run(100);
         }
         self.run(1000);
-        let after = self.event_counts.get("turns kept").copied().unwrap_or(0);
+        let after = self.event_counts.get("turns stored").copied().unwrap_or(0);
         after >= before + 2 && !self.relays[0].is_changing()
     }
 
-    /// Turns that were kept and that no machine holds any more.
+    /// Turns that were stored and that no machine holds any more.
     pub fn lost_turns(&self) -> Vec<String> {
         let is_held = |id: &String| self.stores.values().any(|store| !store.is_gone && store.holds_turn(id));
         self.stored_turns.iter().filter(|id| !is_held(id)).cloned().collect()
     }
 
-    /// How far each storage machine is, for the report of a failed history.
+    /// Describes the state of each storage machine, for the report of a failed history.
     pub fn describe(&self) -> String {
         let stores = self.stores.values().map(|store| {
             format!(
-                "{} gone {} up {} disk lost {} whole {} plan {} synced {}",
+                "{} gone {} up {} disk lost {} complete {} plan {} synced {}",
                 store.node.name,
                 store.is_gone,
                 store.is_up(self.now()),
--- a/crates/onyxstile-system/tests/support/tier_simulation/copies.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation/copies.rs
@@ -1,9 +1,9 @@
-//! Storage machines that copy from each other.
+//! Copying between storage machines.
 
 use super::*;
 
 impl TierSimulation {
-    /// Storage machines ask each other for changes and copy what is theirs.
+    /// Lets storage machines request changes from each other and copy the records that they are responsible for.
     pub(super) fn copy(&mut self) {
         let now = self.now();
         for to in self.members() {
--- a/crates/onyxstile-system/tests/support/tier_simulation/drains.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation/drains.rs
@@ -1,9 +1,9 @@
-//! Drains among controllers, and relays that start.
+//! Exchange of drains between controllers, and starts of relays.
 
 use super::*;
 
 impl TierSimulation {
-    /// Controllers that are electors, by the newest view that any has.
+    /// Electors of the newest view that any controller has.
     pub(super) fn electors(&self) -> Vec<Ipv4Addr> {
         let views = self
             .control
@@ -14,7 +14,7 @@
         newest.map_or_else(Vec::new, |view| view.electors.iter().map(|id| id.address()).collect())
     }
 
-    /// The drains of a controller; one with another disk than before holds none.
+    /// The drains of a controller. A controller whose disk was replaced holds none.
     pub(super) fn drains(&mut self, ip: Ipv4Addr) -> &mut Drains {
         let disk = self.control.disk(ip);
         let is_founder = self.control.now < 1000;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// An endpoint says that it leaves: to a controller, which has it held by others before it acknowledges.
+    /// An endpoint reports its drain to a controller, which acknowledges it once enough other controllers hold it.
     pub fn drain(&mut self) {
         let first = self.control.pick();
         let electors = match self.control.controller_at(first).and_then(|controller| controller.view()) {
@@ -81,12 +81,12 @@
         }
     }
 
-    /// A relay starts anew and hears a majority of the electors that count.
+    /// Starts a relay, which becomes fresh with responses from a majority of the electors.
     pub fn start_relay(&mut self) {
         let electors = self.electors();
         let mut heard: Vec<Ipv4Addr> = Vec::new();
         for ip in electors.iter().copied() {
-            // Some don't answer in time.
+            // Some do not respond in time.
             if self.control.is_up(ip) && self.random_below(3) > 0 && self.drains(ip).copies.is_whole() {
                 heard.push(ip);
             }
@@ -94,12 +94,12 @@
         if heard.len() <= electors.len() / 2 {
             return;
         }
-        self.count_event("relays that started and were fresh");
+        self.count_event("relays that started and became fresh");
         let known: BTreeSet<u32> = heard.iter().flat_map(|ip| self.drains(*ip).held.clone()).collect();
         if let Some(drain) = self.acknowledged_drains.difference(&known).next() {
             let now = self.now();
             self.violations
-                .push(format!("{now}: drain {drain} was acknowledged; a fresh relay knows nothing of it"));
+                .push(format!("{now}: drain {drain} was acknowledged; a fresh relay has not received it"));
         }
     }
 }
--- a/crates/onyxstile-system/tests/support/tier_simulation/plans.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation/plans.rs
@@ -1,9 +1,9 @@
-//! How relays and storage machines learn of plans, and how the head writes them.
+//! Distribution of plans to relays and storage machines, and planning by the head controller.
 
 use super::*;
 
 impl TierSimulation {
-    /// Storage machines and relays learn plans from any controller that they reach.
+    /// Sends plans to storage machines and relays from any controller that they can reach.
     pub(super) fn distribute_plans(&mut self) {
         let controllers = self.control.present();
         let plan = |tier: &TierSimulation, ip: Ipv4Addr| {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The head writes the plan that should follow.
+    /// Lets the head write the next plan.
     pub(super) fn write_plans(&mut self) {
         let now = self.now();
         let Some(head) = self.control.head().filter(|head| self.control.is_up(*head)) else { return };
--- a/crates/onyxstile-system/tests/support/tier_simulation/requests.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation/requests.rs
@@ -1,16 +1,16 @@
-//! What relays ask quorums for, and the checks of what they are told.
+//! Quorum requests of relays, and checks of their results.
 
 use super::*;
 
-/// What one relay asks a quorum for.
+/// A request of a relay to a quorum.
 pub(super) enum QuorumRequest {
-    /// To keep a turn.
+    /// Stores a turn.
     Keep(String),
-    /// To find one; whether it was kept when the question was asked.
+    /// Reads a turn; the flag is whether it was stored when the request was made.
     Find(String, bool),
-    /// To let a turn of a program run.
+    /// Claims budget for a turn of a program.
     Claim { program: String, entry: Entry },
-    /// To settle a claim.
+    /// Settles a claim.
     Settle { program: String, entry: Entry },
 }
 
@@ -33,13 +33,14 @@
     }
 }
 
-/// A question that is out at the members of a key's groups.
+/// A request that is pending at the members of the key's groups.
 pub(super) struct PendingRequest {
     request: QuorumRequest,
     epoch: u64,
     quorum: Quorum,
     until: u64,
-    /// When each member gets it; then when what it did there is on its disk; then when its answer is back.
+    /// Time of arrival at each member. `written` holds the times at which the record is on the member's disk and its
+    /// response is sent.
     arriving: Vec<(u64, Ipv4Addr)>,
     written: Vec<(u64, Ipv4Addr, u64)>,
     summaries: Vec<ClaimSummary>,
@@ -47,7 +48,7 @@
 }
 
 impl TierSimulation {
-    /// A relay puts a question to a quorum.
+    /// Sends a request of a random relay to a quorum.
     pub(super) fn start_request(&mut self, request: QuorumRequest) {
         let relay = self.random_below(RELAYS as u32) as usize;
         let plan = self.relays[relay].clone();
@@ -73,13 +74,13 @@
         });
     }
 
-    /// A turn ends and is to be kept.
+    /// Stores a turn that has ended.
     pub fn store_turn(&mut self) {
         self.last_turn += 1;
         self.start_request(QuorumRequest::Keep(format!("t{}", self.last_turn)));
     }
 
-    /// A turn goes on from another, mostly one of the newest.
+    /// Reads the turn that another one continues, mostly one of the newest.
     pub fn read_turn(&mut self) {
         let most = self.last_turn.max(1) as u32;
         let back = if self.random_below(4) == 0 {
@@ -92,7 +93,7 @@
         self.start_request(QuorumRequest::Find(id, is_kept));
     }
 
-    /// A turn of a program is to run.
+    /// Claims budget for a turn of a program.
     pub fn claim_turn(&mut self) {
         self.last_turn += 1;
         let program = format!("p{}", self.last_turn / 60);
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Lets what is due of a question happen; false once it has ended.
+    /// Processes the due events of a request. Returns false once the request has ended.
     pub(super) fn advance(&mut self, pending: &mut PendingRequest) -> bool {
         let now = self.now();
         let (due, arriving) = pending.arriving.iter().copied().partition(|(at, _)| *at <= now);
@@ -120,7 +121,7 @@
         let due: Vec<(u64, Ipv4Addr)> = due;
         for (_, ip) in due {
             if !self.is_reachable_by_relays(ip) || self.random_below(30) == 0 {
-                // It is asked again.
+                // The request is sent again.
                 pending.arriving.push((now + 125 + u64::from(self.random_below(8)) * STEP, ip));
             } else if self.refuses_epoch(pending, ip) {
                 return false;
@@ -135,7 +136,8 @@
         due.into_iter().all(|(_, ip, incarnation)| self.answer(pending, ip, incarnation))
     }
 
-    /// A storage machine's disk has taken a question's record, and its answer goes back; false once the question has ended.
+    /// The record of a request is on a storage machine's disk, and the response is sent. Returns false once the request
+    /// has ended.
     pub(super) fn answer(&mut self, pending: &mut PendingRequest, ip: Ipv4Addr, incarnation: u64) -> bool {
         let now = self.now();
         let Some(store) =
@@ -148,7 +150,7 @@
             store.write(now, &record);
         }
         let (is_newer, dark) = (store.epoch() > pending.epoch, store.dark_until > now);
-        // By an older plan the turn may be looked for where it was never written.
+        // With an older plan, the turn may be looked up where it was never written.
         let is_whole = store.is_whole() && !is_newer;
         if self.refuses_epoch(pending, ip) {
             return false;
@@ -173,7 +175,7 @@
                 }
                 if pending.quorum.count(ip) {
                     if *is_kept {
-                        self.violations.push(format!("{now}: {id} was kept and is told to be nowhere"));
+                        self.violations.push(format!("{now}: {id} was stored and is reported as missing"));
                     }
                     return false;
                 }
@@ -192,12 +194,12 @@
         false
     }
 
-    /// Whether a machine refuses to write by the relay's plan, for it knows a newer one.
+    /// Whether a machine refuses a request because it has a newer plan than the relay.
     pub(super) fn refuses_epoch(&mut self, pending: &PendingRequest, ip: Ipv4Addr) -> bool {
         let refuses =
             self.stores[&ip].epoch() > pending.epoch && !matches!(pending.request, QuorumRequest::Find(..));
         if refuses {
-            self.count_event("writes refused that went by an older plan");
+            self.count_event("writes with an outdated plan refused");
         }
         refuses
     }
@@ -205,7 +207,7 @@
     pub(super) fn complete_request(&mut self, pending: &PendingRequest) {
         match &pending.request {
             QuorumRequest::Keep(id) => {
-                self.count_event("turns kept");
+                self.count_event("turns stored");
                 self.stored_turns.insert(id.clone());
             }
             QuorumRequest::Claim { program, entry } => {
@@ -221,8 +223,8 @@
                     self.violations
                         .push(format!("{}: {program} received {total} of {BUDGET}", self.control.now));
                 }
-                self.count_event(if fits { "turns let in" } else { "turns refused by their budget" });
-                // A relay that dies leaves its claim as it is.
+                self.count_event(if fits { "turns admitted" } else { "turns refused by their budget" });
+                // A relay that crashes leaves its claim unsettled.
                 if self.random_below(8) > 0 {
                     let entry = Entry { settled: Some(tokens), ..entry.clone() };
                     let program = program.clone();
--- a/crates/onyxstile-system/tests/support/virtual_time.rs
+++ b/crates/onyxstile-system/tests/support/virtual_time.rs
@@ -1,4 +1,4 @@
-//! Time that passes only when a test says so, while sockets work as ever.
+//! A virtual clock that advances only on request, while sockets work normally.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,13 +6,13 @@
 
 use tokio::task::JoinHandle;
 
-/// Turns of the runtime in which whatever can go on without time has gone on.
+/// Yields to the runtime after which all tasks that do not wait for time have made progress.
 const YIELDS: usize = 400;
 
-/// A story that stands still for so long by the real clock is given its time back, so that its own bound ends it.
+/// Real time after which the clock is resumed, so that a stuck test ends by its own timeout.
 const REAL_TIME_LIMIT: Duration = Duration::from_secs(20);
 
-/// Stands still for as long as this lives, but for what [`VirtualTime::pass`] adds.
+/// Keeps the runtime's clock stopped until it is dropped. [`VirtualTime::advance`] moves it on.
 pub struct VirtualTime {
     keep_awake: JoinHandle<()>,
     is_stopped: Rc<Cell<bool>>,
@@ -24,7 +24,7 @@
         tokio::time::pause();
         let is_stopped = Rc::new(Cell::new(true));
         let stopped = is_stopped.clone();
-        // A runtime with nothing to do would move the clock to the next timer by itself.
+        // An idle runtime would advance the clock to the next timer by itself.
         let keep_awake = tokio::task::spawn_local(async move {
             let start = std::time::Instant::now();
             while start.elapsed() < REAL_TIME_LIMIT {
@@ -36,9 +36,10 @@
         VirtualTime { keep_awake, is_stopped }
     }
 
-    /// Moves the clock on in one step: timers that are due by then and sockets that are ready are met in one turn.
+    /// Advances the clock in one step. Timers that are due by then and sockets that are ready are handled in the same
+    /// turn of the runtime.
     pub async fn advance(&self, time: Duration) {
-        assert!(self.is_stopped.get(), "the story stood still");
+        assert!(self.is_stopped.get(), "the test exceeded its real-time limit");
         tokio::time::advance(time).await;
         run_ready_tasks().await;
     }
@@ -53,7 +54,7 @@
     }
 }
 
-/// Lets whatever can go on without time go on.
+/// Lets all tasks run that do not wait for time.
 pub async fn run_ready_tasks() {
     for _ in 0..YIELDS {
         tokio::task::yield_now().await;
--- a/crates/onyxstile-system/tests/tier_histories.rs
+++ b/crates/onyxstile-system/tests/tier_histories.rs
@@ -1,5 +1,5 @@
-//! The whole of control and state under the worst days, in one world: LOST, BUDGET, DRAIN, CONFIG and the return of service.
-//! `HISTORIES` and `FIRST` set how many histories are played, and from which seed on.
+//! Randomised histories of the control plane and storage with combined faults. Checkers verify LOST, BUDGET, DRAIN,
+//! CONFIG and the return of service. `HISTORIES` and `FIRST` set the number of histories and the first seed.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use support::tier_simulation::{COPIES_ONE_IN, TierSimulation};
 use support::variable;
 
-/// One history; what the checkers found, or `Err` where service does not return.
+/// Runs one history. Returns the simulation with the violations found, and `Err` if service does not return.
 fn run_history(seed: u64, flaw: StoreFlaw) -> (TierSimulation, Result<(), String>) {
     let stores = 3 + (seed % 3) as u8;
     let mut tier = TierSimulation::new(stores, seed, flaw);
@@ -30,7 +30,7 @@
     let serves = tier.is_serving() || tier.is_serving() || tier.is_serving();
     let lost = tier.lost_turns();
     if !lost.is_empty() {
-        tier.violations.push(format!("nobody holds {lost:?}"));
+        tier.violations.push(format!("no machine holds {lost:?}"));
     }
     let returned = if serves { Ok(()) } else { Err(tier.describe()) };
     (tier, returned)
@@ -99,7 +99,7 @@
     }
 }
 
-/// Storage machines in a random order.
+/// The storage machines in random order.
 fn shuffled(tier: &mut TierSimulation) -> Vec<std::net::Ipv4Addr> {
     let mut members = tier.members();
     for end in (1..members.len()).rev() {
@@ -108,7 +108,7 @@
     members
 }
 
-/// Turns run while one machine is away; others follow on them.
+/// Stores and claims turns while one machine is unreachable.
 fn store_turns_without(tier: &mut TierSimulation, away: std::net::Ipv4Addr) {
     let until = tier.now() + 700;
     tier.stores.get_mut(&away).expect("a machine").dark_until = until;
@@ -128,7 +128,8 @@
     }
 }
 
-/// One machine misses turns; as it returns, one of those that have them is away for long and the other loses its disk.
+/// One machine misses turns. When it returns, one of the machines that hold them becomes unreachable for a long time, and
+/// another one loses its disk.
 fn lose_disk_after_missed_turns(tier: &mut TierSimulation) {
     let members = shuffled(tier);
     if members.len() < 3 {
@@ -143,7 +144,7 @@
     read_and_claim_turns(tier);
 }
 
-/// One machine misses turns; another is emptied and taken away, and a third loses its disk right after.
+/// One machine misses turns, another one is retired and removed, and a third one loses its disk right after that.
 fn retire_then_wipe(tier: &mut TierSimulation) {
     let members = shuffled(tier);
     if members.len() < 4 {
@@ -165,8 +166,8 @@
     read_and_claim_turns(tier);
 }
 
-/// The plan has changed; then all storage machines and controllers are killed, the latter stay away for longer, and relays
-/// that are behind go on.
+/// After a change of the plan, all storage machines and controllers are killed. The controllers stay down for longer,
+/// while relays with an outdated plan continue.
 fn restart_without_plan(tier: &mut TierSimulation) {
     tier.add_store(false);
     tier.add_store(false);
@@ -183,21 +184,24 @@
 }
 
 #[test]
-fn whatever_crosses_nothing_acknowledged_is_lost_and_service_returns() {
+fn no_acknowledged_data_is_lost_and_service_returns_under_combined_faults() {
     let first = variable("FIRST", 0);
     let mut seen = std::collections::BTreeMap::new();
     for seed in first..first + variable("HISTORIES", 20) {
         let (tier, returned) = run_history(seed, StoreFlaw::None);
         assert!(tier.violations.is_empty(), "seed {seed}: {:?}", tier.violations);
-        assert!(returned.is_ok(), "seed {seed}: turns are not kept, or a change does not end\n{returned:?}");
+        assert!(
+            returned.is_ok(),
+            "seed {seed}: turns are not stored, or a change does not end\n{returned:?}"
+        );
         for (what, count) in tier.event_counts {
             *seen.entry(what).or_insert(0) += count;
         }
     }
     println!("{seen:?}");
     for what in [
-        "turns kept",
-        "turns let in",
+        "turns stored",
+        "turns admitted",
         "turns refused by their budget",
         "plan changes ended",
         "drains acknowledged",
@@ -213,28 +217,28 @@
 }
 
 #[test]
-fn the_checkers_catch_a_copy_that_time_makes() {
+fn checkers_detect_a_copy_considered_complete_after_a_timeout() {
     assert!(is_flaw_caught(StoreFlaw::Patience));
 }
 
 #[test]
-fn the_checkers_catch_a_machine_that_answers_before_it_has_copied() {
+fn checkers_detect_a_machine_that_answers_before_it_has_copied() {
     assert!(is_flaw_caught(StoreFlaw::AnswersWhileEmpty));
 }
 
 #[test]
-fn the_checkers_catch_a_change_that_ends_before_the_copies_are_made() {
+fn checkers_detect_a_change_that_ends_before_copying() {
     assert!(is_flaw_caught(StoreFlaw::EndsAtOnce));
 }
 
-/// By argument first: a machine that was restarted knew no plan and let relays that were behind write and look where nobody
-/// looks any more.
+/// A restarted machine without a plan accepted writes and lookups from relays with an outdated plan, although these
+/// machines are no longer searched. Found by reasoning before the test.
 #[test]
-fn the_checkers_catch_a_machine_that_forgets_which_plans_it_has_gone_by() {
+fn checkers_detect_a_machine_that_forgets_its_epoch() {
     assert!(is_flaw_caught(StoreFlaw::ForgetsEpoch));
 }
 
 #[test]
-fn the_checkers_catch_newcomers_that_wait_for_each_other() {
+fn checkers_detect_new_members_that_wait_for_each_other() {
     assert!((0..200).any(|seed| run_history(seed, StoreFlaw::WaitsForNewcomers).1.is_err()));
 }
