--- a/crates/onyxstile-system/src/configuration.rs
+++ b/crates/onyxstile-system/src/configuration.rs
@@ -27,7 +27,7 @@
             display("{}", error)
         }
         /// The body is not UTF-8.
-        NotText {
+        NotUtf8 {
             display("the body is not UTF-8")
         }
         /// A route refers to a service that is not in the configuration.
@@ -43,23 +43,23 @@
             display("service {} is defined twice", name)
         }
         /// The weights of a route's split sum to 0.
-        NoWeight(route: String) {
+        ZeroWeight(route: String) {
             display("the weights of route {} sum to 0", route)
         }
         /// The timeout of a route is 0.
-        NoTimeout(route: String) {
+        ZeroTimeout(route: String) {
             display("the timeout_ms of route {} is 0", route)
         }
         /// A route's prefix does not begin and end with a slash.
-        Prefix(route: String, prefix: String) {
+        InvalidPrefix(route: String, prefix: String) {
             display("the prefix {} of route {} does not begin and end with a slash", prefix, route)
         }
         /// The type of a route is unknown.
-        RouteType(route: String, name: String) {
+        UnknownRouteType(route: String, name: String) {
             display("route {} has the unknown type {}", route, name)
         }
         /// The revision is not greater than the current one.
-        OldRevision(revision: Revision, current: Revision) {
+        StaleRevision(revision: Revision, current: Revision) {
             display("revision {} is not greater than the current revision {}", revision, current)
         }
     }
--- a/crates/onyxstile-system/src/configuration/read.rs
+++ b/crates/onyxstile-system/src/configuration/read.rs
@@ -13,7 +13,7 @@
 
 /// Parses a complete configuration and makes all checks that do not depend on the current configuration.
 pub fn parse(body: &[u8]) -> Result<Configuration, ConfigurationError> {
-    let text = std::str::from_utf8(body).map_err(|_| ConfigurationError::NotText)?;
+    let text = std::str::from_utf8(body).map_err(|_| ConfigurationError::NotUtf8)?;
     let value = json::parse(text)?;
     let root = Object::new(&value, "")?;
     let revision = root.integer("revision")?;
@@ -38,7 +38,7 @@
 fn service(object: &Object<'_>) -> Result<Service, ConfigurationError> {
     let engine = object.object("engine")?.map(|engine| read_engine(&engine)).transpose()?;
     Ok(Service {
-        name: object.text("name")?.to_owned(),
+        name: object.string("name")?.to_owned(),
         max_connections: object.integer_or("max_connections", u64::from(u16::MAX))?,
         engine,
     })
@@ -74,10 +74,10 @@
 
 fn check(route: &Route, services: &HashMap<String, Service>) -> Result<(), ConfigurationError> {
     if route.timeout_ms == 0 {
-        return Err(ConfigurationError::NoTimeout(route.name.clone()));
+        return Err(ConfigurationError::ZeroTimeout(route.name.clone()));
     }
     if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
-        return Err(ConfigurationError::Prefix(route.name.clone(), route.path_prefix.clone()));
+        return Err(ConfigurationError::InvalidPrefix(route.name.clone(), route.path_prefix.clone()));
     }
     for (service, _) in &route.split {
         if !services.contains_key(service) {
@@ -85,33 +85,33 @@
         }
     }
     if route.split.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0 {
-        return Err(ConfigurationError::NoWeight(route.name.clone()));
+        return Err(ConfigurationError::ZeroWeight(route.name.clone()));
     }
     Ok(())
 }
 
 fn route(object: &Object<'_>) -> Result<Route, ConfigurationError> {
-    let name = object.text("name")?.to_owned();
-    let route_type = match object.text("route_type")? {
+    let name = object.string("name")?.to_owned();
+    let route_type = match object.string("route_type")? {
         "idempotent" => RouteType::Idempotent,
         "non_idempotent" => RouteType::NonIdempotent,
         "streaming" => RouteType::Streaming,
-        other => return Err(ConfigurationError::RouteType(name, other.to_owned())),
+        other => return Err(ConfigurationError::UnknownRouteType(name, other.to_owned())),
     };
     let timeout_ms = object.number("timeout_ms")?.max(0.0) as u64;
     Ok(Route {
-        host: object.text("host")?.to_ascii_lowercase(),
-        path_prefix: object.text("path_prefix")?.to_owned(),
+        host: object.string("host")?.to_ascii_lowercase(),
+        path_prefix: object.string("path_prefix")?.to_owned(),
         route_type,
         timeout_ms,
         target_latency_ms: object.number_or("target_latency_ms", timeout_ms as f64)?.max(0.0) as u64,
         priority: object.integer_or("priority", LOWEST_PRIORITY)?.min(LOWEST_PRIORITY) as u8,
         split: split(object)?,
         max_attempts: object.integer_or("max_attempts", DEFAULT_ATTEMPTS)?.clamp(1, 1000) as u32,
-        retained: object.flag("retained")?,
+        retained: object.boolean("retained")?,
         retention_s: object.number_or("retention_s", 60.0)?,
-        session_affinity: object.flag("session_affinity")?,
-        resumable: object.flag("resumable")?,
+        session_affinity: object.boolean("session_affinity")?,
+        resumable: object.boolean("resumable")?,
         target_gap_ms: object.number_or("gap_aim_ms", 0.0)?.max(0.0) as u64,
         name,
     })
@@ -119,11 +119,11 @@
 
 fn split(object: &Object<'_>) -> Result<Vec<(String, f64)>, ConfigurationError> {
     if object.get("traffic_split").is_none() {
-        return Ok(vec![(object.text("service")?.to_owned(), 1.0)]);
+        return Ok(vec![(object.string("service")?.to_owned(), 1.0)]);
     }
     let mut split = Vec::new();
     for part in object.objects("traffic_split")? {
-        split.push((part.text("service")?.to_owned(), part.number("weight")?.max(0.0)));
+        split.push((part.string("service")?.to_owned(), part.number("weight")?.max(0.0)));
     }
     Ok(split)
 }
--- a/crates/onyxstile-system/src/controller/operations.rs
+++ b/crates/onyxstile-system/src/controller/operations.rs
@@ -227,7 +227,7 @@
 fn check(body: &[u8], current: Revision) -> Result<Revision, ConfigurationError> {
     let revision = configuration::parse(body)?.revision;
     if revision <= current {
-        return Err(ConfigurationError::OldRevision(revision, current));
+        return Err(ConfigurationError::StaleRevision(revision, current));
     }
     Ok(revision)
 }
--- a/crates/onyxstile-system/src/json.rs
+++ b/crates/onyxstile-system/src/json.rs
@@ -91,7 +91,7 @@
     }
 
     /// A required string.
-    pub fn text(&self, field: &str) -> Result<&'a str, JsonError> {
+    pub fn string(&self, field: &str) -> Result<&'a str, JsonError> {
         match self.require(field)? {
             JsonValue::String(text) => Ok(text),
             _ => Err(JsonError::Type(self.name(field), "a string")),
@@ -126,7 +126,7 @@
     }
 
     /// A boolean, or false if the field is absent.
-    pub fn flag(&self, field: &str) -> Result<bool, JsonError> {
+    pub fn boolean(&self, field: &str) -> Result<bool, JsonError> {
         match self.get(field) {
             None => Ok(false),
             Some(JsonValue::Boolean(flag)) => Ok(*flag),
--- a/crates/onyxstile-system/src/registry/instance.rs
+++ b/crates/onyxstile-system/src/registry/instance.rs
@@ -58,16 +58,16 @@
         let value: JsonValue = parse(std::str::from_utf8(body).map_err(not_text)?)?;
         let object = Object::new(&value, "")?;
         let socket: SocketAddrV4 = object
-            .text("address")?
+            .string("address")?
             .parse()
             .map_err(|_| JsonError::Type("address".into(), "an IPv4 address with a port"))?;
         Ok(Instance {
             id: id.to_owned(),
-            service: object.text("service")?.to_owned(),
+            service: object.string("service")?.to_owned(),
             address: (socket.ip().octets(), socket.port()),
-            zone: object.text("zone").unwrap_or_default().to_owned(),
+            zone: object.string("zone").unwrap_or_default().to_owned(),
             capacity: object.integer_or("capacity", 1)?.clamp(1, 1 << 20) as u32,
-            stage: if object.text("state")? == "draining" { Stage::Draining } else { Stage::Ready },
+            stage: if object.string("state")? == "draining" { Stage::Draining } else { Stage::Ready },
             warmup_left_ms: object.number_or("warmup_left_ms", 0.0)?.max(0.0) as u64,
             sequence: object.integer_or("sequence", 0)?,
             is_silent: false,
--- a/crates/onyxstile-system/src/storage_plan.rs
+++ b/crates/onyxstile-system/src/storage_plan.rs
@@ -158,8 +158,11 @@
     /// Returns the first plan, which contains all live machines. A plan that does not tolerate the required losses is
     /// returned only if `has_timed_out` is set, which means that no further machines are expected.
     pub fn first(observed: &[Observed], tolerance: Tolerance, has_timed_out: bool) -> Option<StoragePlan> {
-        let mut current: Vec<StorageNode> =
-            observed.iter().filter(|seen| seen.dead_for.is_none()).map(|seen| seen.node.clone()).collect();
+        let mut current: Vec<StorageNode> = observed
+            .iter()
+            .filter(|observation| observation.dead_for.is_none())
+            .map(|observation| observation.node.clone())
+            .collect();
         current.sort();
         let is_enough = if has_timed_out {
             current.len() > tolerance.losses()
--- a/crates/onyxstile-system/src/storage_plan/planning.rs
+++ b/crates/onyxstile-system/src/storage_plan/planning.rs
@@ -39,14 +39,14 @@
 
     /// Whether a machine has reported that it is in sync with this plan.
     fn has_synced(&self, node: &StorageNode, observed: &[Observed]) -> bool {
-        observed.iter().any(|seen| seen.node == *node && seen.synced_epoch >= self.epoch)
+        observed.iter().any(|observation| observation.node == *node && observation.synced_epoch >= self.epoch)
     }
 
     fn target(&self, observed: &[Observed], tolerance: Tolerance) -> Vec<StorageNode> {
         let new_members: Vec<&StorageNode> = observed
             .iter()
-            .filter(|seen| seen.dead_for.is_none())
-            .map(|seen| &seen.node)
+            .filter(|observation| observation.dead_for.is_none())
+            .map(|observation| &observation.node)
             .filter(|node| !self.current.contains(node) && !self.retired.contains(&node.name))
             .collect();
         let mut target: Vec<StorageNode> = self.current.clone();
@@ -55,17 +55,17 @@
             target.retain(|node| node.ip != new_member.ip);
             target.push(new_member.clone());
         }
-        for seen in observed.iter() {
-            let Some(dead_for) = seen.dead_for else { continue };
+        for observation in observed.iter() {
+            let Some(dead_for) = observation.dead_for else { continue };
             // With a replacement present, the loss of the dead machine soon stops counting, and another loss is tolerated
             // again.
             let has_replacement = target.len() > self.size as usize;
             // A new member that is not in sync yet is also removed early: it holds no data, so it would be a loss that is
             // not accounted for.
-            let is_unsynced = self.is_changing() && !self.previous.contains(&seen.node);
+            let is_unsynced = self.is_changing() && !self.previous.contains(&observation.node);
             let timeout = if has_replacement || is_unsynced { REPLACE_AFTER } else { DROP_AFTER };
             let remaining: Vec<StorageNode> =
-                target.iter().filter(|node| **node != seen.node).cloned().collect();
+                target.iter().filter(|node| **node != observation.node).cloned().collect();
             let can_remove = can_shrink(&target, &remaining, tolerance)
                 || (is_unsynced && remaining.len() > tolerance.losses());
             if dead_for >= timeout && can_remove {
@@ -82,8 +82,9 @@
     fn is_synced(&self, observed: &[Observed], tolerance: Tolerance) -> bool {
         let mut missing = Vec::new();
         for node in self.current.iter().filter(|node| !self.has_synced(node, observed)) {
-            let seen = observed.iter().find(|seen| seen.node == *node);
-            let is_dead = seen.is_none_or(|seen| seen.dead_for.is_some_and(|time| time >= SYNC_TIMEOUT));
+            let observation = observed.iter().find(|observation| observation.node == *node);
+            let is_dead = observation
+                .is_none_or(|observation| observation.dead_for.is_some_and(|time| time >= SYNC_TIMEOUT));
             if !is_dead || !self.previous.contains(node) {
                 return false;
             }
@@ -95,8 +96,9 @@
     }
 
     fn is_any_leaving_member_alive(&self, observed: &[Observed]) -> bool {
-        let is_alive =
-            |node: &&StorageNode| observed.iter().any(|seen| seen.node == **node && seen.dead_for.is_none());
+        let is_alive = |node: &&StorageNode| {
+            observed.iter().any(|observation| observation.node == **node && observation.dead_for.is_none())
+        };
         self.previous.iter().filter(|node| !self.current.contains(node)).any(|node| is_alive(&node))
     }
 }
--- a/crates/onyxstile-system/tests/configuration.rs
+++ b/crates/onyxstile-system/tests/configuration.rs
@@ -25,14 +25,14 @@
 
 #[test]
 fn rejects_each_kind_of_invalid_configuration() {
-    let whole = good(5);
+    let complete = good(5);
     let refused = |body: &str| parse(body.as_bytes()).expect_err("is invalid").to_string();
-    let unknown = configuration(5, &[route("r", "a", "/x/", r#","service":"u""#)]);
-    let twice = configuration(
+    let unknown_service = configuration(5, &[route("r", "a", "/x/", r#","service":"u""#)]);
+    let duplicate = configuration(
         5,
         &[route("r", "a", "/x/", r#","service":"s""#), route("q", "A", "/x/", r#","service":"s""#)],
     );
-    let weightless = configuration(
+    let zero_weight = configuration(
         5,
         &[route(
             "r",
@@ -41,10 +41,18 @@
             r#","traffic_split":[{"service":"s","weight":0},{"service":"t","weight":0}]"#,
         )],
     );
-    let untimed = good(5).replace("\"timeout_ms\":900", "\"timeout_ms\":0");
+    let zero_timeout = good(5).replace("\"timeout_ms\":900", "\"timeout_ms\":0");
     let prefix = configuration(5, &[route("r", "a", "/x", r#","service":"s""#)]);
-    let typed = good(5).replace("idempotent", "sometimes");
-    let list = [unknown, twice, weightless, untimed, prefix, typed, good(5).replace("\"revision\":5,", "")];
+    let unknown_type = good(5).replace("idempotent", "sometimes");
+    let list = [
+        unknown_service,
+        duplicate,
+        zero_weight,
+        zero_timeout,
+        prefix,
+        unknown_type,
+        good(5).replace("\"revision\":5,", ""),
+    ];
     let mut reasons: Vec<String> = list.iter().map(|body| refused(body)).collect();
     reasons.push(refused("[]"));
     expect![[r#"
@@ -57,10 +65,10 @@
         revision is missing
          is not an object"#]]
     .assert_eq(&reasons.join("\n"));
-    for length in 0..whole.len() {
-        assert!(parse(&whole.as_bytes()[..length]).is_err(), "truncated at {length}");
+    for length in 0..complete.len() {
+        assert!(parse(&complete.as_bytes()[..length]).is_err(), "truncated at {length}");
     }
-    assert!(parse(whole.as_bytes()).is_ok());
+    assert!(parse(complete.as_bytes()).is_ok());
 }
 
 #[test]
@@ -89,7 +97,7 @@
 }
 
 /// Returns the state after a change that must be accepted.
-fn taken(state: &ControlState, base: u64, body: &str) -> ControlState {
+fn accepted(state: &ControlState, base: u64, body: &str) -> ControlState {
     let Evaluation::Write(change) = put(state, base, body) else { panic!("the change is not accepted") };
     let mut next = state.clone();
     assert!(next.apply(&state.write(change)));
@@ -98,7 +106,7 @@
 
 #[test]
 fn accepts_only_a_valid_change_to_the_newest_version() {
-    let first = taken(&ControlState::default(), 0, &good(2));
+    let first = accepted(&ControlState::default(), 0, &good(2));
     assert_eq!((first.sequence, first.revision()), (1, 2));
     assert_eq!(put(&first, 0, &good(2)), Evaluation::TakenBefore);
     assert_eq!(put(&first, 0, &good(3)), Evaluation::Answer(Outcome::Conflict(2)));
@@ -106,7 +114,7 @@
         let answer = put(&first, 2, &good(revision));
         assert!(matches!(answer, Evaluation::Answer(Outcome::Invalid(_))), "revision {revision}: {answer:?}");
     }
-    let second = taken(&first, 2, &good(9));
+    let second = accepted(&first, 2, &good(9));
     assert_eq!(put(&second, 0, &good(2)), Evaluation::TakenBefore, "also after it has been replaced");
     assert_eq!(second.configuration.as_ref().map(|held| held.body.clone()), Some(good(9).into_bytes()));
     assert!(
@@ -119,15 +127,15 @@
 /// here but still delivered late, it would take effect after the refusal.
 #[test]
 fn change_to_an_unknown_version_has_an_unknown_outcome() {
-    let first = taken(&ControlState::default(), 0, &good(2));
+    let first = accepted(&ControlState::default(), 0, &good(2));
     assert_eq!(put(&first, 7, &good(9)), Evaluation::Answer(Outcome::Unknown));
 }
 
 #[test]
 fn accepted_change_is_never_refused_later() {
-    let mut state = taken(&ControlState::default(), 0, &good(1));
+    let mut state = accepted(&ControlState::default(), 0, &good(1));
     for base in 1..=REMEMBERED_CHANGES as u64 {
-        state = taken(&state, base, &good(base + 1));
+        state = accepted(&state, base, &good(base + 1));
     }
     let current = state.revision();
     assert_eq!(state.accepted.len(), REMEMBERED_CHANGES);
@@ -138,8 +146,8 @@
 
 #[test]
 fn write_applies_only_to_the_state_it_follows() {
-    let first = taken(&ControlState::default(), 0, &good(2));
-    let other = taken(&ControlState::default(), 0, &good(3));
+    let first = accepted(&ControlState::default(), 0, &good(2));
+    let other = accepted(&ControlState::default(), 0, &good(3));
     let Evaluation::Write(change) = put(&first, 2, &good(9)) else { panic!("the change is not accepted") };
     let write = first.write(change);
     let mut target = other.clone();
--- a/crates/onyxstile-system/tests/control_record.rs
+++ b/crates/onyxstile-system/tests/control_record.rs
@@ -21,7 +21,7 @@
     }
 }
 
-fn founder() -> Durable {
+fn bootstrap_state() -> Durable {
     let seeds = [address(1), address(2), address(3)];
     Controller::bootstrap(address(1), &seeds)
 }
@@ -31,18 +31,18 @@
 }
 
 /// A record whose snapshot follows 9,000 changes, which is more than the state remembers.
-fn after_many(folder: &MemoryFolder) -> (ControlRecord<MemoryFolder>, Durable) {
-    let mut durable = founder();
+fn record_after_many_changes(folder: &MemoryFolder) -> (ControlRecord<MemoryFolder>, Durable) {
+    let mut durable = bootstrap_state();
     let (mut record, _) = open(folder);
     for _ in 0..9_000 {
-        next(&mut durable, 100);
+        apply_next(&mut durable, 100);
     }
     record.save(&durable).expect("is saved");
     (record, durable)
 }
 
 /// Applies the next write to the state and returns it.
-fn next(durable: &mut Durable, bytes: usize) -> Write {
+fn apply_next(durable: &mut Durable, bytes: usize) -> Write {
     let write = durable.state.write(change(durable.state.sequence + 1, bytes));
     assert!(durable.state.apply(&write));
     write
@@ -53,14 +53,14 @@
     for seed in 0..600u64 {
         let mut random = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let folder = MemoryFolder::default();
-        let mut durable = founder();
+        let mut durable = bootstrap_state();
         let (mut record, none) = open(&folder);
         assert!(none.is_none());
         record.save(&durable).expect("is saved");
         folder.fail_power_at(1 + seed % 150);
         let mut written = durable.clone();
         loop {
-            let write = next(&mut durable, 30_000);
+            let write = apply_next(&mut durable, 30_000);
             if record.append(1, &write).is_err() {
                 break;
             }
@@ -79,16 +79,16 @@
 #[test]
 fn write_of_an_earlier_view_is_not_replayed() {
     let folder = MemoryFolder::default();
-    let mut durable = founder();
+    let mut durable = bootstrap_state();
     let (mut record, _) = open(&folder);
     record.save(&durable).expect("is saved");
-    let lost = next(&mut durable, 10);
+    let lost = apply_next(&mut durable, 10);
     record.append(1, &lost).expect("is written");
     // The next view begins without the write, which was never acknowledged.
     let view = durable.view.clone().expect("a view");
     let later = View { number: 2, ..(*view).clone() };
-    let begun = Durable { state: later.state.clone(), view: Some(Rc::new(later)), ..founder() };
-    record.save(&begun).expect("is saved");
+    let initial = Durable { state: later.state.clone(), view: Some(Rc::new(later)), ..bootstrap_state() };
+    record.save(&initial).expect("is saved");
     // A power failure restores the file of the lost write.
     let mut other = folder.clone();
     let mut bytes = Vec::new();
@@ -97,16 +97,16 @@
     copy.append(1, &lost).expect("is written");
     bytes.extend(source.read("write-0").expect("is there"));
     other.append("write-77", &bytes).expect("is written");
-    assert_eq!(open(&folder).1, Some(begun));
+    assert_eq!(open(&folder).1, Some(initial));
 }
 
 #[test]
 fn corrupt_snapshot_is_an_error_without_fallback_to_an_older_one() {
-    for spoilt in [&b"short"[..], &[0; 4000]] {
+    for corrupt in [&b"short"[..], &[0; 4000]] {
         let mut folder = MemoryFolder::default();
         let (mut record, _) = open(&folder);
-        record.save(&founder()).expect("is saved");
-        folder.append("version-9", spoilt).expect("is written");
+        record.save(&bootstrap_state()).expect("is saved");
+        folder.append("version-9", corrupt).expect("is written");
         let error = ControlRecord::open(folder.clone(), folder.clone()).err().expect("is refused");
         assert!(error.to_string().contains("version-9"), "{error}");
         ControlRecord::discard(&mut folder).expect("is removed");
@@ -118,14 +118,14 @@
 #[test]
 fn orphaned_write_is_not_replayed_onto_a_later_snapshot() {
     let folder = MemoryFolder::default();
-    let mut durable = founder();
-    let left = next(&mut durable, 10);
+    let mut durable = bootstrap_state();
+    let left = apply_next(&mut durable, 10);
     open(&folder).0.append(1, &left).expect("is written");
-    let mut durable = founder();
+    let mut durable = bootstrap_state();
     let (mut record, none) = open(&folder);
     assert!(none.is_none());
     record.save(&durable).expect("is saved");
-    let write = next(&mut durable, 20);
+    let write = apply_next(&mut durable, 20);
     record.append(1, &write).expect("is written");
     assert_eq!(open(&folder).1, Some(durable));
 }
@@ -135,8 +135,8 @@
 #[test]
 fn cost_of_a_change_is_independent_of_the_number_of_earlier_changes() {
     let folder = MemoryFolder::default();
-    let (mut record, mut durable) = after_many(&folder);
-    let write = next(&mut durable, 1024);
+    let (mut record, mut durable) = record_after_many_changes(&folder);
+    let write = apply_next(&mut durable, 1024);
     record.append(1, &write).expect("is written");
     let on_disk = folder.read("write-0").expect("is there").len();
     let apply = Message::Apply { view: 1, written: Written::Write(Rc::new(write)) };
@@ -150,7 +150,7 @@
 #[test]
 fn snapshots_add_bounded_write_amplification() {
     let folder = MemoryFolder::default();
-    let (mut record, mut durable) = after_many(&folder);
+    let (mut record, mut durable) = record_after_many_changes(&folder);
     let snapshot = |folder: &MemoryFolder| -> usize {
         let names = folder.list().expect("is listed");
         names
@@ -161,7 +161,7 @@
     };
     let (mut own, mut written) = (0, 0);
     for _ in 0..1_000 {
-        let write = next(&mut durable, 1024);
+        let write = apply_next(&mut durable, 1024);
         own += 1024;
         record.append(1, &write).expect("is written");
         written += 1024 + 100;
@@ -185,7 +185,7 @@
     }
     let write = state.write(change(9_001, 8 * 1024 * 1024));
     assert!(state.apply(&write));
-    let view = View { state, ..(*founder().view.expect("a view")).clone() };
+    let view = View { state, ..(*bootstrap_state().view.expect("a view")).clone() };
     let bytes = wire::encode(&Message::Installed(Rc::new(view))).len();
     println!("a snapshot of {bytes} bytes");
     assert!(bytes < wire::FRAME_MAX / 3, "{bytes} bytes");
--- a/crates/onyxstile-system/tests/decoders.rs
+++ b/crates/onyxstile-system/tests/decoders.rs
@@ -251,8 +251,8 @@
     let mut written = RecordLog::open(disk.clone(), LOG_BYTES, |_, _| {}).expect("opens").log;
     written.append(records.clone()).expect("is written");
     let segment = "000000000001.seg";
-    let whole = disk.bytes(segment).expect("is there");
-    fuzz(&[whole], |bytes| {
+    let complete = disk.bytes(segment).expect("is there");
+    fuzz(&[complete], |bytes| {
         let disk = SimDisk::default();
         disk.set(segment, bytes.to_vec());
         disk.set("segment-x", bytes.to_vec());
--- a/crates/onyxstile-system/tests/record_log.rs
+++ b/crates/onyxstile-system/tests/record_log.rs
@@ -34,7 +34,7 @@
 fn history(seed: u64, end: End) -> bool {
     let mut random = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
     let disk = SimDisk::default();
-    let mut kept: BTreeSet<u64> = BTreeSet::new();
+    let mut acknowledged: BTreeSet<u64> = BTreeSet::new();
     let mut dropped: BTreeSet<u64> = BTreeSet::new();
     let mut next = 0;
     for incarnation in 0..4 {
@@ -42,7 +42,7 @@
         if !is_intact {
             return false;
         }
-        for number in &kept {
+        for number in &acknowledged {
             assert_eq!(
                 found.get(number),
                 Some(&value(*number)),
@@ -64,16 +64,16 @@
             next += count;
             let records = numbers.iter().map(|number| (*number, value(*number))).collect();
             if log.append(records).is_ok() && !disk.is_dead() {
-                kept.extend(numbers);
+                acknowledged.extend(numbers);
             }
-            if random.next_u32().is_multiple_of(2) && !kept.is_empty() {
-                let number = *kept.iter().next().expect("there is one");
-                kept.remove(&number);
+            if random.next_u32().is_multiple_of(2) && !acknowledged.is_empty() {
+                let number = *acknowledged.iter().next().expect("there is one");
+                acknowledged.remove(&number);
                 dropped.insert(number);
                 // A removal that the disk refuses is retried later.
                 log.drop_records(vec![number]).ok();
             }
-            for number in kept.iter().rev().take(2) {
+            for number in acknowledged.iter().rev().take(2) {
                 let read = log.read(*number).expect("is read");
                 assert_eq!(read, Some(value(*number)), "seed {seed}, incarnation {incarnation}: {number}");
             }
@@ -110,17 +110,17 @@
             let disk = SimDisk::default();
             let (OpenedLog { mut log, .. }, _) = open(&disk, LIMIT);
             disk.fail(call, fault);
-            let mut kept = Vec::new();
+            let mut acknowledged = Vec::new();
             for number in 0..40 {
                 if log.append(vec![(number, value(number))]).is_ok() {
-                    kept.push(number);
+                    acknowledged.push(number);
                 }
             }
-            assert!(kept.len() >= 38, "{fault:?} at {call}: writing continues after one refusal");
+            assert!(acknowledged.len() >= 38, "{fault:?} at {call}: writing continues after one refusal");
             disk.lose_power(|below| below - 1);
             let (opened, found) = open(&disk, LIMIT);
             assert!(opened.is_intact, "{fault:?} at {call}");
-            let lost: Vec<&u64> = kept.iter().filter(|number| !found.contains_key(number)).collect();
+            let lost: Vec<&u64> = acknowledged.iter().filter(|number| !found.contains_key(number)).collect();
             assert!(lost.is_empty(), "{fault:?} at {call}: {lost:?}");
         }
     }
@@ -131,20 +131,20 @@
     let disk = SimDisk::default();
     let (OpenedLog { mut log, .. }, _) = open(&disk, LIMIT);
     let big = |number: u64| vec![number as u8; 20_000];
-    let mut kept = Vec::new();
+    let mut acknowledged = Vec::new();
     for number in 0..60 {
         if log.append(vec![(number, big(number))]).is_ok() {
-            kept.push(number);
+            acknowledged.push(number);
         }
     }
-    assert!((10..59).contains(&kept.len()), "{} records were accepted", kept.len());
+    assert!((10..59).contains(&acknowledged.len()), "{} records were accepted", acknowledged.len());
     assert!(log.used_bytes() <= LIMIT);
-    log.drop_records(kept.drain(..8).collect()).expect("drops");
+    log.drop_records(acknowledged.drain(..8).collect()).expect("drops");
     log.append(vec![(100, big(100))]).expect("there is space again");
-    kept.push(100);
+    acknowledged.push(100);
     let (opened, found) = open(&disk, LIMIT);
     assert!(opened.is_intact);
-    assert_eq!(found.keys().copied().collect::<Vec<_>>(), kept);
+    assert_eq!(found.keys().copied().collect::<Vec<_>>(), acknowledged);
 }
 
 #[test]
@@ -176,7 +176,7 @@
 }
 
 /// A log of several segments, and the records that it holds.
-fn written() -> (SimDisk, Contents) {
+fn log_of_several_segments() -> (SimDisk, Contents) {
     let disk = SimDisk::default();
     let (OpenedLog { mut log, .. }, _) = open(&disk, LIMIT);
     let mut contents = Contents::new();
@@ -189,7 +189,7 @@
 
 #[test]
 fn corruption_in_the_middle_is_a_loss_until_it_is_accepted() {
-    let (disk, contents) = written();
+    let (disk, contents) = log_of_several_segments();
     let mut first = disk.bytes("000000000001.seg").expect("is there");
     let middle = first.len() / 2;
     first[middle] ^= 1;
@@ -210,13 +210,13 @@
 
 #[test]
 fn truncated_end_is_not_a_loss() {
-    let (disk, _) = written();
-    let (_, whole) = open(&disk, LIMIT);
+    let (disk, _) = log_of_several_segments();
+    let (_, complete) = open(&disk, LIMIT);
     let last = (1..9).rev().map(|id| format!("{id:012}.seg")).find(|name| disk.bytes(name).is_some());
     let last = last.expect("a segment");
     let bytes = disk.bytes(&last).expect("is there");
     disk.set(&last, bytes[..bytes.len() - 10].to_vec());
     let (opened, found) = open(&disk, LIMIT);
     assert!(opened.is_intact);
-    assert_eq!(found.len(), whole.len() - 1);
+    assert_eq!(found.len(), complete.len() - 1);
 }
--- a/crates/onyxstile-system/tests/subscription.rs
+++ b/crates/onyxstile-system/tests/subscription.rs
@@ -72,7 +72,7 @@
         let settings = Rc::new(RefCell::new(settings(controller)));
         let wishes = Wishes { relay: None, wait: Duration::from_millis(400), synced_epoch: Rc::default() };
         let began = Instant::now();
-        let _news = subscription::follow(settings, Client::default(), wishes);
+        let _updates = subscription::follow(settings, Client::default(), wishes);
         enough.notified().await;
         assert!(began.elapsed() >= MIN_DURATION, "{POLLS} polls in {:?}", began.elapsed());
     });
@@ -126,10 +126,10 @@
         let seed = SocketAddrV4::new(self.addresses[0], self.port);
         let settings = Rc::new(RefCell::new(settings_at(own, seed)));
         let wishes = Wishes { relay: None, wait: Duration::from_millis(1000), synced_epoch: Rc::default() };
-        let mut news = subscription::follow(settings, Client::default(), wishes);
+        let mut updates = subscription::follow(settings, Client::default(), wishes);
         let mut held = 0;
         loop {
-            match news.recv().await.expect("an update") {
+            match updates.recv().await.expect("an update") {
                 News::State(published) => held = published.sequence,
                 News::Fresh => break,
                 _ => {}
@@ -184,19 +184,19 @@
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
         let port = listener.local_addr().expect("its address").port();
         let first: Rc<RefCell<Option<PullRequest>>> = Rc::default();
-        let (kept, asked) = (first.clone(), Rc::new(Notify::new()));
-        let noted = asked.clone();
+        let (recorded, received) = (first.clone(), Rc::new(Notify::new()));
+        let notify = received.clone();
         let handler = Rc::new(move |request: Request| -> rpc::Answer {
             let Request::Pull(pull) = request else { panic!("{request:?}") };
-            kept.borrow_mut().get_or_insert(pull);
-            noted.notify_one();
+            recorded.borrow_mut().get_or_insert(pull);
+            notify.notify_one();
             Box::pin(std::future::ready(Response::Pull(unsettled(Ipv4Addr::LOCALHOST))))
         });
         tokio::task::spawn_local(rpc::serve(listener, handler));
         let settings = Rc::new(RefCell::new(settings(SocketAddrV4::new(Ipv4Addr::LOCALHOST, port))));
         let wishes = Wishes { relay: None, wait: Duration::from_millis(400), synced_epoch: Rc::default() };
-        let _news = subscription::follow(settings, Client::default(), wishes);
-        asked.notified().await;
+        let _updates = subscription::follow(settings, Client::default(), wishes);
+        received.notified().await;
         let pull = first.borrow().clone().expect("a poll");
         assert!(!pull.wants_state && pull.wait_ms == 0, "{pull:?}");
     });
--- a/crates/onyxstile-system/tests/support/tier_simulation.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation.rs
@@ -43,7 +43,7 @@
 /// The budget of each program in tokens.
 const BUDGET: u64 = 400;
 
-struct Copying {
+struct PendingCopy {
     at: u64,
     to: Ipv4Addr,
     from: Ipv4Addr,
@@ -73,7 +73,7 @@
     reports: BTreeMap<Ipv4Addr, (u64, u64)>,
     dead_since: BTreeMap<Ipv4Addr, u64>,
     pending: Vec<PendingRequest>,
-    copying: Vec<Copying>,
+    pending_copies: Vec<PendingCopy>,
     drains: BTreeMap<Ipv4Addr, Drains>,
     acknowledged_drains: BTreeSet<u32>,
     next_drain: u32,
@@ -83,7 +83,7 @@
     last_turn: u64,
     next_store: u8,
     last_incarnation: u64,
-    planned_at: u64,
+    last_planned_at: u64,
     stable_since: u64,
     /// A storage machine requests changes from another one in one of this many steps.
     pub copies_one_in: u32,
@@ -115,7 +115,7 @@
             reports: BTreeMap::new(),
             dead_since: BTreeMap::new(),
             pending: Vec::new(),
-            copying: Vec::new(),
+            pending_copies: Vec::new(),
             drains: BTreeMap::new(),
             acknowledged_drains: BTreeSet::new(),
             next_drain: 0,
@@ -125,7 +125,7 @@
             last_turn: 0,
             next_store: FIRST_STORE,
             last_incarnation: 0,
-            planned_at: 0,
+            last_planned_at: 0,
             stable_since: 0,
             copies_one_in: COPIES_ONE_IN,
             event_counts: BTreeMap::new(),
@@ -233,7 +233,7 @@
     }
 
     /// Ends all lasting faults.
-    pub fn heal(&mut self, within: u64) {
+    pub fn end_faults(&mut self, within: u64) {
         self.control.heal(within);
         let now = self.now();
         for store in self.stores.values_mut() {
--- a/crates/onyxstile-system/tests/support/tier_simulation/copies.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation/copies.rs
@@ -19,13 +19,13 @@
                 let changes = self.stores[&from].changes(before);
                 let (at, incarnation) =
                     (now + u64::from(self.random_below(6)) * STEP, self.stores[&to].origin());
-                self.copying.push(Copying { at, to, from, incarnation, before, changes });
+                self.pending_copies.push(PendingCopy { at, to, from, incarnation, before, changes });
             }
         }
         let (due, waiting) =
-            std::mem::take(&mut self.copying).into_iter().partition(|copying| copying.at <= now);
-        self.copying = waiting;
-        let due: Vec<Copying> = due;
+            std::mem::take(&mut self.pending_copies).into_iter().partition(|copying| copying.at <= now);
+        self.pending_copies = waiting;
+        let due: Vec<PendingCopy> = due;
         due.into_iter().for_each(|copying| self.finish_copy(copying));
         for ip in self.members() {
             let (tolerance, flaw) = (self.tolerance, self.flaw);
@@ -35,8 +35,8 @@
         }
     }
 
-    pub(super) fn finish_copy(&mut self, copying: Copying) {
-        let Copying { to, from, incarnation, before, changes, .. } = copying;
+    pub(super) fn finish_copy(&mut self, copying: PendingCopy) {
+        let PendingCopy { to, from, incarnation, before, changes, .. } = copying;
         if !self.is_reachable(to) || !self.is_reachable(from) || self.random_below(20) == 0 {
             return;
         }
--- a/crates/onyxstile-system/tests/support/tier_simulation/plans.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation/plans.rs
@@ -57,7 +57,7 @@
             return;
         };
         let Some(state) = controller.committed_state() else { return };
-        if now < self.planned_at + 100 {
+        if now < self.last_planned_at + 100 {
             return;
         }
         let observed = self.observe(now);
@@ -70,7 +70,7 @@
             if !plan.is_changing() && plan.epoch > 1 {
                 self.count_event("plan changes ended");
             }
-            self.planned_at = now;
+            self.last_planned_at = now;
             self.control.order(head, Operation::Plan(Rc::new(plan)));
         }
     }
--- a/crates/onyxstile-system/tests/support/tier_simulation/requests.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation/requests.rs
@@ -5,9 +5,9 @@
 /// A request of a relay to a quorum.
 pub(super) enum QuorumRequest {
     /// Stores a turn.
-    Keep(String),
+    Store(String),
     /// Reads a turn; the flag is whether it was stored when the request was made.
-    Find(String, bool),
+    Read(String, bool),
     /// Claims budget for a turn of a program.
     Claim { program: String, entry: Entry },
     /// Settles a claim.
@@ -17,8 +17,8 @@
 impl QuorumRequest {
     pub(super) fn record(&self) -> Option<Record> {
         match self {
-            QuorumRequest::Keep(id) => Some(Record::Turn(turn(id))),
-            QuorumRequest::Find(..) => None,
+            QuorumRequest::Store(id) => Some(Record::Turn(turn(id))),
+            QuorumRequest::Read(..) => None,
             QuorumRequest::Claim { program, entry } | QuorumRequest::Settle { program, entry } => {
                 Some(Record::Entry { program: program.clone(), entry: entry.clone() })
             }
@@ -27,7 +27,7 @@
 
     pub(super) fn placement_key(&self) -> &str {
         match self {
-            QuorumRequest::Keep(id) | QuorumRequest::Find(id, _) => id,
+            QuorumRequest::Store(id) | QuorumRequest::Read(id, _) => id,
             QuorumRequest::Claim { program, .. } | QuorumRequest::Settle { program, .. } => program,
         }
     }
@@ -77,7 +77,7 @@
     /// Stores a turn that has ended.
     pub fn store_turn(&mut self) {
         self.last_turn += 1;
-        self.start_request(QuorumRequest::Keep(format!("t{}", self.last_turn)));
+        self.start_request(QuorumRequest::Store(format!("t{}", self.last_turn)));
     }
 
     /// Reads the turn that another one continues, mostly one of the newest.
@@ -89,8 +89,8 @@
             self.random_below(10).min(most - 1)
         };
         let id = format!("t{}", most - back);
-        let is_kept = self.stored_turns.contains(&id);
-        self.start_request(QuorumRequest::Find(id, is_kept));
+        let was_stored = self.stored_turns.contains(&id);
+        self.start_request(QuorumRequest::Read(id, was_stored));
     }
 
     /// Claims budget for a turn of a program.
@@ -149,7 +149,7 @@
         if let Some(record) = pending.request.record() {
             store.write(now, &record);
         }
-        let (is_newer, dark) = (store.epoch() > pending.epoch, store.dark_until > now);
+        let (is_newer, is_dark) = (store.epoch() > pending.epoch, store.dark_until > now);
         // With an older plan, the turn may be looked up where it was never written.
         let is_whole = store.is_whole() && !is_newer;
         if self.refuses_epoch(pending, ip) {
@@ -166,24 +166,24 @@
                 pending.summaries.push(summary);
                 merge_claims(&mut pending.claims, claims);
             }
-            QuorumRequest::Find(id, is_kept) => {
+            QuorumRequest::Read(id, was_stored) => {
                 if store.holds_turn(id) {
                     return false;
                 }
-                if !is_whole || dark {
+                if !is_whole || is_dark {
                     return true;
                 }
                 if pending.quorum.count(ip) {
-                    if *is_kept {
+                    if *was_stored {
                         self.violations.push(format!("{now}: {id} was stored and is reported as missing"));
                     }
                     return false;
                 }
                 return true;
             }
-            QuorumRequest::Keep(_) | QuorumRequest::Settle { .. } => {}
+            QuorumRequest::Store(_) | QuorumRequest::Settle { .. } => {}
         }
-        if dark || self.random_below(30) == 0 {
+        if is_dark || self.random_below(30) == 0 {
             pending.arriving.push((now + 125, ip));
             return true;
         }
@@ -197,7 +197,7 @@
     /// Whether a machine refuses a request because it has a newer plan than the relay.
     pub(super) fn refuses_epoch(&mut self, pending: &PendingRequest, ip: Ipv4Addr) -> bool {
         let refuses =
-            self.stores[&ip].epoch() > pending.epoch && !matches!(pending.request, QuorumRequest::Find(..));
+            self.stores[&ip].epoch() > pending.epoch && !matches!(pending.request, QuorumRequest::Read(..));
         if refuses {
             self.count_event("writes with an outdated plan refused");
         }
@@ -206,7 +206,7 @@
 
     pub(super) fn complete_request(&mut self, pending: &PendingRequest) {
         match &pending.request {
-            QuorumRequest::Keep(id) => {
+            QuorumRequest::Store(id) => {
                 self.count_event("turns stored");
                 self.stored_turns.insert(id.clone());
             }
@@ -231,7 +231,7 @@
                     self.start_request(QuorumRequest::Settle { program, entry });
                 }
             }
-            QuorumRequest::Find(..) | QuorumRequest::Settle { .. } => {}
+            QuorumRequest::Read(..) | QuorumRequest::Settle { .. } => {}
         }
     }
 }
--- a/crates/onyxstile-system/tests/tier_histories.rs
+++ b/crates/onyxstile-system/tests/tier_histories.rs
@@ -19,13 +19,13 @@
             inject_fault(&mut tier);
         }
         if tier.random_below(8) == 0 {
-            tier.heal(300);
+            tier.end_faults(300);
             tier.run(CATCH_UP + 1000);
         }
         let pause = 50 + u64::from(tier.random_below(400));
         tier.run(pause);
     }
-    tier.heal(300);
+    tier.end_faults(300);
     tier.run(CATCH_UP + 4000);
     let serves = tier.is_serving() || tier.is_serving() || tier.is_serving();
     let lost = tier.lost_turns();
