--- a/crates/onyxstile-system/src/settings.rs
+++ b/crates/onyxstile-system/src/settings.rs
@@ -10,7 +10,7 @@
 use quick_error::quick_error;
 use serde::Deserialize;
 
-use crate::tolerance::{Place, Tolerance};
+use crate::tolerance::{Location, Tolerance};
 pub use metrics_address::{MetricsAddress, MetricsAddressError};
 
 /// Environment variable with the path of the settings file.
@@ -203,9 +203,9 @@
     }
 
     /// The location (region and zone) of a machine in `zone`.
-    pub fn location(&self, zone: &str) -> Place {
+    pub fn location(&self, zone: &str) -> Location {
         let region = self.zones.get(zone).cloned().unwrap_or_default();
-        Place { region, zone: zone.to_owned() }
+        Location { region, zone: zone.to_owned() }
     }
 
     /// Time between SIGTERM and SIGKILL, limited to the accepted range.
--- a/crates/onyxstile-system/src/storage_plan.rs
+++ b/crates/onyxstile-system/src/storage_plan.rs
@@ -10,7 +10,7 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-use crate::tolerance::{Place, Tolerance};
+use crate::tolerance::{Location, Tolerance};
 
 /// A storage machine together with its disk. The same machine with another disk is a different member: it does not hold
 /// what the previous disk acknowledged. The plan therefore changes, and writes that use the previous plan are refused.
@@ -23,7 +23,7 @@
     /// Identifier of the disk.
     pub disk: u64,
     /// Zone and region of the machine.
-    pub location: Place,
+    pub location: Location,
 }
 
 impl StorageNode {
@@ -100,7 +100,7 @@
     /// Whether each key has the same groups in both plans: the same machines at the same locations, regardless of their
     /// disks.
     pub fn has_same_placement(&self, other: &StoragePlan) -> bool {
-        let placement = |nodes: &[StorageNode]| -> Vec<([u8; 4], Place)> {
+        let placement = |nodes: &[StorageNode]| -> Vec<([u8; 4], Location)> {
             nodes.iter().map(|node| (node.ip, node.location.clone())).collect()
         };
         placement(&self.current) == placement(&other.current)
@@ -167,7 +167,7 @@
         let is_enough = if has_timed_out {
             current.len() > tolerance.losses()
         } else {
-            tolerance.is_borne_by(&places(&current))
+            tolerance.can_be_met_by(&places(&current))
         };
         is_enough.then(|| StoragePlan {
             epoch: 1,
@@ -178,12 +178,12 @@
     }
 }
 
-fn places(nodes: &[StorageNode]) -> Vec<&Place> {
+fn places(nodes: &[StorageNode]) -> Vec<&Location> {
     nodes.iter().map(|node| &node.location).collect()
 }
 
 /// Whether members may be removed: enough remain, and a loss that was tolerated before is still tolerated.
 fn can_shrink(before: &[StorageNode], after: &[StorageNode], tolerance: Tolerance) -> bool {
-    let is_loss_tolerated = |nodes: &[StorageNode]| tolerance.is_borne_by(&places(nodes));
+    let is_loss_tolerated = |nodes: &[StorageNode]| tolerance.can_be_met_by(&places(nodes));
     after.len() >= tolerance.group_size() && (is_loss_tolerated(after) || !is_loss_tolerated(before))
 }
--- a/crates/onyxstile-system/src/wire.rs
+++ b/crates/onyxstile-system/src/wire.rs
@@ -11,8 +11,8 @@
 
 use crate::control::Message;
 use crate::evidence::Evidence;
-use crate::program::{ClaimSummary, Entry, Key, Record, Turn};
-use crate::registry::{Instance, Told};
+use crate::program::{ClaimEntry, ClaimSummary, Key, Record, Turn};
+use crate::registry::{Instance, RecordUpdate};
 
 /// Version of the internal protocol. Frames of any other version are rejected.
 pub const VERSION: u8 = 6;
@@ -71,7 +71,7 @@
         /// The program.
         program: String,
         /// The claim.
-        entry: Entry,
+        entry: ClaimEntry,
         /// Whether to return all claims of the program instead of their summary.
         wants_all: bool,
     },
@@ -122,14 +122,14 @@
         /// Whether the controller holds every acknowledged drain.
         is_complete: bool,
         /// Records of the endpoints.
-        records: Vec<Told>,
+        records: Vec<RecordUpdate>,
     },
     /// Updates of the control state and of endpoints.
     Pull(PullResponse),
     /// Summary of a program's claims, including the new one.
     Reserved(ClaimSummary),
     /// All claims of a program, including the new one.
-    Claims(Vec<Entry>),
+    Claims(Vec<ClaimEntry>),
     /// Turns in the order of the ids. With `is_conclusive`, a missing turn was never written to this machine and was not
     /// lost either.
     Turns {
--- a/crates/onyxstile-system/tests/bad_clients.rs
+++ b/crates/onyxstile-system/tests/bad_clients.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use onyxstile_system::clock::Instant;
-use onyxstile_system::watch::{Bounds, Overdue, Watch};
+use onyxstile_system::connection_watchdog::{ConnectionTimeouts, ConnectionWatchdog, Overdue};
 use support::tier::{Tier, ask, play};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn what_is_no_request_is_answered_with_4xx_or_a_close() {
+fn malformed_requests_get_a_4xx_response_or_a_close() {
     play(async {
         let tier = Tier::start("no-request", &configuration(), &[]).await;
         let head = "POST /r/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: x\r\nDeadline-Ms: 300\r\n";
@@ -68,10 +68,10 @@
             ("a body that stops", format!("{head}Content-Length: 90\r\n\r\nabc").into_bytes(), &["408"]),
         ];
         for listener in [tier.front(), tier.control(2)] {
-            for (what, bytes, answers) in &cases[..if listener == tier.front() { 8 } else { 2 }] {
+            for (case, bytes, answers) in &cases[..if listener == tier.front() { 8 } else { 2 }] {
                 let answer = send(listener, bytes).await;
                 let status = answer.split(' ').nth(1).unwrap_or_default();
-                assert!(answers.contains(&status), "{listener}: {what}: {answer:?}");
+                assert!(answers.contains(&status), "{listener}: {case}: {answer:?}");
             }
         }
         assert!(is_served(tier.front()).await);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn hundreds_of_silent_connections_keep_nobody_from_being_served_and_are_closed() {
+fn silent_connections_do_not_block_other_clients_and_are_closed() {
     play(async {
         let tier = Tier::start("silent", &configuration(), &[]).await;
         let mut silent = Vec::new();
@@ -95,24 +95,28 @@
 }
 
 #[test]
-fn a_head_has_its_time_from_its_first_byte_and_a_rest_from_the_answers_end() {
-    let bounds = Bounds { head: Duration::from_millis(300), rest: Duration::from_millis(1000) };
-    let mut watch = Watch::new(at(0), bounds);
-    assert_eq!(watch.ends(), Some((at(1000), Overdue::Rest)));
+fn head_timeout_starts_at_first_byte_and_idle_timeout_at_response_end() {
+    let bounds = ConnectionTimeouts { head: Duration::from_millis(300), idle: Duration::from_millis(1000) };
+    let mut watch = ConnectionWatchdog::new(at(0), bounds);
+    assert_eq!(watch.deadline(), Some((at(1000), Overdue::Idle)));
     watch.bytes(at(900));
     watch.bytes(at(1100));
-    assert_eq!(watch.ends(), Some((at(1200), Overdue::Head)), "more bytes give no more time");
+    assert_eq!(watch.deadline(), Some((at(1200), Overdue::Head)), "more bytes give no more time");
     watch.request(at(1150));
     watch.bytes(at(1160));
-    assert_eq!(watch.ends(), None, "an answer may take as long as it takes");
+    assert_eq!(watch.deadline(), None, "an answer may take as long as it takes");
     watch.answered(at(9000));
-    assert_eq!(watch.ends(), Some((at(10_000), Overdue::Rest)));
+    assert_eq!(watch.deadline(), Some((at(10_000), Overdue::Idle)));
     watch.sent(at(12_000));
-    assert_eq!(watch.ends(), Some((at(13_000), Overdue::Rest)), "an answer's last bytes begin the rest");
+    assert_eq!(watch.deadline(), Some((at(13_000), Overdue::Idle)), "an answer's last bytes begin the rest");
     watch.bytes(at(12_500));
     watch.sent(at(12_700));
-    assert_eq!(watch.ends(), Some((at(13_000), Overdue::Head)), "a head behind it has its time from then on");
+    assert_eq!(
+        watch.deadline(),
+        Some((at(13_000), Overdue::Head)),
+        "a head behind it has its time from then on"
+    );
     watch.request(at(12_800));
     watch.sent(at(12_900));
-    assert_eq!(watch.ends(), None, "a stream may take as long as it takes");
+    assert_eq!(watch.deadline(), None, "a stream may take as long as it takes");
 }
--- a/crates/onyxstile-system/tests/tier_histories.rs
+++ b/crates/onyxstile-system/tests/tier_histories.rs
@@ -3,13 +3,13 @@
 
 mod support;
 
-use support::control_world::CATCH_UP;
-use support::store_world::StoreFlaw;
+use support::control_simulation::CATCH_UP;
+use support::store_world::StoreFault;
 use support::tier_simulation::{COPIES_ONE_IN, TierSimulation};
 use support::variable;
 
 /// Runs one history. Returns the simulation with the violations found, and `Err` if service does not return.
-fn run_history(seed: u64, flaw: StoreFlaw) -> (TierSimulation, Result<(), String>) {
+fn run_history(seed: u64, flaw: StoreFault) -> (TierSimulation, Result<(), String>) {
     let stores = 3 + (seed % 3) as u8;
     let mut tier = TierSimulation::new(stores, seed, flaw);
     tier.run(1500);
@@ -44,7 +44,7 @@
             3 | 4 => tier.claim_turn(),
             _ => {
                 let base = tier.control.newest_committed();
-                let to = tier.control.pick();
+                let to = tier.control.random_machine();
                 tier.control.put(to, base, base + 1);
             }
         }
@@ -55,7 +55,7 @@
     if tier.random_below(4) == 0 {
         tier.start_relay();
     }
-    let reader = tier.control.pick();
+    let reader = tier.control.random_machine();
     tier.control.read(reader);
 }
 
@@ -67,13 +67,13 @@
     };
     let may_lose = tier.disks_lost() < 1;
     let store = tier.pick_store();
-    let core = tier.control.pick();
+    let core = tier.control.random_machine();
     let until = tier.now() + time;
     match tier.random_below(22) {
         0 => tier.kill_store(store, time),
         1 => tier.stores.get_mut(&store).expect("a machine").frozen_until = until,
         2 => tier.stores.get_mut(&store).expect("a machine").cut_until = until,
-        3 => tier.stores.get_mut(&store).expect("a machine").dark_until = until,
+        3 => tier.stores.get_mut(&store).expect("a machine").isolated_until = until,
         4..=6 if may_lose => tier.wipe_store(store, time),
         7 if may_lose => tier.replace_store(store),
         8 => {
@@ -111,7 +111,7 @@
 /// Stores and claims turns while one machine is unreachable.
 fn store_turns_without(tier: &mut TierSimulation, away: std::net::Ipv4Addr) {
     let until = tier.now() + 700;
-    tier.stores.get_mut(&away).expect("a machine").dark_until = until;
+    tier.stores.get_mut(&away).expect("a machine").isolated_until = until;
     for _ in 0..6 {
         tier.store_turn();
         tier.claim_turn();
@@ -138,7 +138,7 @@
     store_turns_without(tier, members[0]);
     if tier.disks_lost() < 1 {
         let until = tier.now() + 20_000;
-        tier.stores.get_mut(&members[1]).expect("a machine").dark_until = until;
+        tier.stores.get_mut(&members[1]).expect("a machine").isolated_until = until;
         tier.wipe_store(members[2], 100);
     }
     read_and_claim_turns(tier);
@@ -188,7 +188,7 @@
     let first = variable("FIRST", 0);
     let mut seen = std::collections::BTreeMap::new();
     for seed in first..first + variable("HISTORIES", 20) {
-        let (tier, returned) = run_history(seed, StoreFlaw::None);
+        let (tier, returned) = run_history(seed, StoreFault::None);
         assert!(tier.violations.is_empty(), "seed {seed}: {:?}", tier.violations);
         assert!(
             returned.is_ok(),
@@ -210,7 +210,7 @@
     }
 }
 
-fn is_flaw_caught(flaw: StoreFlaw) -> bool {
+fn is_flaw_caught(flaw: StoreFault) -> bool {
     let caught = (0..400).find(|seed| !run_history(*seed, flaw).0.violations.is_empty());
     println!("{flaw:?}: caught by seed {caught:?}");
     caught.is_some()
@@ -218,27 +218,27 @@
 
 #[test]
 fn checkers_detect_a_copy_considered_complete_after_a_timeout() {
-    assert!(is_flaw_caught(StoreFlaw::Patience));
+    assert!(is_flaw_caught(StoreFault::Timeout));
 }
 
 #[test]
 fn checkers_detect_a_machine_that_answers_before_it_has_copied() {
-    assert!(is_flaw_caught(StoreFlaw::AnswersWhileEmpty));
+    assert!(is_flaw_caught(StoreFault::AnswersWhileEmpty));
 }
 
 #[test]
 fn checkers_detect_a_change_that_ends_before_copying() {
-    assert!(is_flaw_caught(StoreFlaw::EndsAtOnce));
+    assert!(is_flaw_caught(StoreFault::EndsAtOnce));
 }
 
 /// A restarted machine without a plan accepted writes and lookups from relays with an outdated plan, although these
 /// machines are no longer searched. Found by reasoning before the test.
 #[test]
 fn checkers_detect_a_machine_that_forgets_its_epoch() {
-    assert!(is_flaw_caught(StoreFlaw::ForgetsEpoch));
+    assert!(is_flaw_caught(StoreFault::ForgetsEpoch));
 }
 
 #[test]
 fn checkers_detect_new_members_that_wait_for_each_other() {
-    assert!((0..200).any(|seed| run_history(seed, StoreFlaw::WaitsForNewcomers).1.is_err()));
+    assert!((0..200).any(|seed| run_history(seed, StoreFault::WaitsForNewcomers).1.is_err()));
 }
