--- a/crates/onyxstile-system/tests/support/tier_simulation/drains.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation/drains.rs
@@ -41,13 +41,13 @@
             if !is_due || !self.control.is_up(to) || !self.control.is_up(from) {
                 continue;
             }
-            let (held, is_whole) = {
+            let (held, is_complete) = {
                 let drains = self.drains(from);
                 (drains.held.clone(), drains.copies.is_complete())
             };
             let drains = self.drains(to);
             drains.held.extend(held);
-            drains.copies.record_pull(from.octets(), is_whole);
+            drains.copies.record_pull(from.octets(), is_complete);
             drains.copies.check_complete(to.octets(), &octets);
         }
     }
@@ -84,19 +84,20 @@
     /// Starts a relay, which becomes fresh with responses from a majority of the electors.
     pub fn start_relay(&mut self) {
         let electors = self.electors();
-        let mut heard: Vec<Ipv4Addr> = Vec::new();
+        let mut responders: Vec<Ipv4Addr> = Vec::new();
         for ip in electors.iter().copied() {
             // Some do not respond in time.
             if self.control.is_up(ip) && self.random_below(3) > 0 && self.drains(ip).copies.is_complete() {
-                heard.push(ip);
+                responders.push(ip);
             }
         }
-        if heard.len() <= electors.len() / 2 {
+        if responders.len() <= electors.len() / 2 {
             return;
         }
         self.count_event("relays that started and became fresh");
-        let known: BTreeSet<u32> = heard.iter().flat_map(|ip| self.drains(*ip).held.clone()).collect();
-        if let Some(drain) = self.acknowledged_drains.difference(&known).next() {
+        let held_drains: BTreeSet<u32> =
+            responders.iter().flat_map(|ip| self.drains(*ip).held.clone()).collect();
+        if let Some(drain) = self.acknowledged_drains.difference(&held_drains).next() {
             let now = self.now();
             self.violations
                 .push(format!("{now}: drain {drain} was acknowledged; a fresh relay has not received it"));
--- a/crates/onyxstile-system/tests/support/tier_simulation/requests.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation/requests.rs
@@ -151,14 +151,14 @@
         }
         let (is_newer, is_dark) = (store.epoch() > pending.epoch, store.isolated_until > now);
         // With an older plan, the turn may be looked up where it was never written.
-        let is_whole = store.is_complete() && !is_newer;
+        let is_complete = store.is_complete() && !is_newer;
         if self.refuses_epoch(pending, ip) {
             return false;
         }
         let store = &self.stores[&ip];
         match &pending.request {
             QuorumRequest::Claim { program, .. } => {
-                if !is_whole {
+                if !is_complete {
                     pending.arriving.push((now + 125, ip));
                     return true;
                 }
@@ -170,7 +170,7 @@
                 if store.holds_turn(id) {
                     return false;
                 }
-                if !is_whole || is_dark {
+                if !is_complete || is_dark {
                     return true;
                 }
                 if pending.quorum.count(ip) {
