--- a/crates/onyxstile-system/tests/configuration.rs
+++ b/crates/onyxstile-system/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Which configurations are valid, and which route a request takes.
+//! Validation of configurations and the choice of a request's route.
 
 use std::rc::Rc;
 
@@ -24,15 +24,15 @@
 }
 
 #[test]
-fn each_kind_of_invalid_configuration_is_refused_with_its_reason() {
-    let whole = good(5);
+fn rejects_each_kind_of_invalid_configuration() {
+    let complete = good(5);
     let refused = |body: &str| parse(body.as_bytes()).expect_err("is invalid").to_string();
-    let unknown = configuration(5, &[route("r", "a", "/x/", r#","service":"u""#)]);
-    let twice = configuration(
+    let unknown_service = configuration(5, &[route("r", "a", "/x/", r#","service":"u""#)]);
+    let duplicate = configuration(
         5,
         &[route("r", "a", "/x/", r#","service":"s""#), route("q", "A", "/x/", r#","service":"s""#)],
     );
-    let weightless = configuration(
+    let zero_weight = configuration(
         5,
         &[route(
             "r",
@@ -41,14 +41,22 @@
             r#","traffic_split":[{"service":"s","weight":0},{"service":"t","weight":0}]"#,
         )],
     );
-    let untimed = good(5).replace("\"timeout_ms\":900", "\"timeout_ms\":0");
+    let zero_timeout = good(5).replace("\"timeout_ms\":900", "\"timeout_ms\":0");
     let prefix = configuration(5, &[route("r", "a", "/x", r#","service":"s""#)]);
-    let typed = good(5).replace("idempotent", "sometimes");
-    let list = [unknown, twice, weightless, untimed, prefix, typed, good(5).replace("\"revision\":5,", "")];
+    let unknown_type = good(5).replace("idempotent", "sometimes");
+    let list = [
+        unknown_service,
+        duplicate,
+        zero_weight,
+        zero_timeout,
+        prefix,
+        unknown_type,
+        good(5).replace("\"revision\":5,", ""),
+    ];
     let mut reasons: Vec<String> = list.iter().map(|body| refused(body)).collect();
     reasons.push(refused("[]"));
     expect![[r#"
-        route r names the unknown service u
+        route r refers to the unknown service u
         routes r and q have the same host and prefix
         the weights of route r sum to 0
         the timeout_ms of route r is 0
@@ -57,14 +65,14 @@
         revision is missing
          is not an object"#]]
     .assert_eq(&reasons.join("\n"));
-    for length in 0..whole.len() {
-        assert!(parse(&whole.as_bytes()[..length]).is_err(), "cut short at {length}");
+    for length in 0..complete.len() {
+        assert!(parse(&complete.as_bytes()[..length]).is_err(), "truncated at {length}");
     }
-    assert!(parse(whole.as_bytes()).is_ok());
+    assert!(parse(complete.as_bytes()).is_ok());
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_takes_a_request() {
+fn selects_the_route_with_the_longest_matching_prefix() {
     let body = configuration(
         1,
         &[
@@ -88,17 +96,17 @@
     evaluate(state, &operation, Tolerance::of_machines(1), &[])
 }
 
-/// The state after a change that is taken.
-fn taken(state: &ControlState, base: u64, body: &str) -> ControlState {
-    let Evaluation::Write(change) = put(state, base, body) else { panic!("is written") };
+/// Returns the state after a change that must be accepted.
+fn accepted(state: &ControlState, base: u64, body: &str) -> ControlState {
+    let Evaluation::Write(change) = put(state, base, body) else { panic!("the change is not accepted") };
     let mut next = state.clone();
     assert!(next.apply(&state.write(change)));
     next
 }
 
 #[test]
-fn only_a_valid_change_on_the_newest_version_is_written() {
-    let first = taken(&ControlState::default(), 0, &good(2));
+fn accepts_only_a_valid_change_to_the_newest_version() {
+    let first = accepted(&ControlState::default(), 0, &good(2));
     assert_eq!((first.sequence, first.revision()), (1, 2));
     assert_eq!(put(&first, 0, &good(2)), Evaluation::AlreadyApplied);
     assert_eq!(put(&first, 0, &good(3)), Evaluation::Answer(Outcome::Conflict(2)));
@@ -106,42 +114,46 @@
         let answer = put(&first, 2, &good(revision));
         assert!(matches!(answer, Evaluation::Answer(Outcome::Invalid(_))), "revision {revision}: {answer:?}");
     }
-    let second = taken(&first, 2, &good(9));
-    assert_eq!(put(&second, 0, &good(2)), Evaluation::AlreadyApplied, "also when it has been replaced");
+    let second = accepted(&first, 2, &good(9));
+    assert_eq!(put(&second, 0, &good(2)), Evaluation::AlreadyApplied, "also after it has been replaced");
     assert_eq!(second.configuration.as_ref().map(|held| held.body.clone()), Some(good(9).into_bytes()));
-    assert!(matches!(put(&second, 9, &good(9)), Evaluation::Answer(Outcome::Invalid(_))), "on another base");
+    assert!(
+        matches!(put(&second, 9, &good(9)), Evaluation::Answer(Outcome::Invalid(_))),
+        "based on another version"
+    );
 }
 
-/// A version may be on its way to whoever sends the next one; that next one, refused and then late, would come into force.
+/// The base version may not have reached this controller yet. If the next change, based on that version, were refused
+/// here but still delivered late, it would take effect after the refusal.
 #[test]
-fn a_change_on_a_version_that_is_not_known_yet_is_left_without_a_clear_answer() {
-    let first = taken(&ControlState::default(), 0, &good(2));
+fn change_to_an_unknown_version_has_an_unknown_outcome() {
+    let first = accepted(&ControlState::default(), 0, &good(2));
     assert_eq!(put(&first, 7, &good(9)), Evaluation::Answer(Outcome::Unknown));
 }
 
 #[test]
-fn a_change_that_was_taken_is_never_refused_however_many_followed() {
-    let mut state = taken(&ControlState::default(), 0, &good(1));
+fn accepted_change_is_never_refused_later() {
+    let mut state = accepted(&ControlState::default(), 0, &good(1));
     for base in 1..=ACCEPTED_CHANGES_MAX as u64 {
-        state = taken(&state, base, &good(base + 1));
+        state = accepted(&state, base, &good(base + 1));
     }
     let current = state.revision();
     assert_eq!(state.accepted.len(), ACCEPTED_CHANGES_MAX);
-    assert_eq!(put(&state, 0, &good(1)), Evaluation::Answer(Outcome::Unknown), "forgotten");
+    assert_eq!(put(&state, 0, &good(1)), Evaluation::Answer(Outcome::Unknown), "no longer remembered");
     assert_eq!(put(&state, 1, &good(2)), Evaluation::AlreadyApplied);
     assert_eq!(put(&state, 1, &good(current + 1)), Evaluation::Answer(Outcome::Conflict(current)));
 }
 
 #[test]
-fn a_write_is_made_only_to_the_state_that_it_follows() {
-    let first = taken(&ControlState::default(), 0, &good(2));
-    let other = taken(&ControlState::default(), 0, &good(3));
-    let Evaluation::Write(change) = put(&first, 2, &good(9)) else { panic!("is written") };
+fn write_applies_only_to_the_state_it_follows() {
+    let first = accepted(&ControlState::default(), 0, &good(2));
+    let other = accepted(&ControlState::default(), 0, &good(3));
+    let Evaluation::Write(change) = put(&first, 2, &good(9)) else { panic!("the change is not accepted") };
     let write = first.write(change);
     let mut target = other.clone();
-    assert!(!target.apply(&write), "one sequence, other writes");
+    assert!(!target.apply(&write), "same sequence, different writes");
     assert_eq!(target, other);
     let mut later = first.clone();
     assert!(later.apply(&write));
-    assert!(!later.apply(&write), "made before");
+    assert!(!later.apply(&write), "already applied");
 }
--- a/crates/onyxstile-system/tests/support/tier_simulation/requests.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation/requests.rs
@@ -1,24 +1,24 @@
-//! What relays ask quorums for, and the checks of what they are told.
+//! Quorum requests of relays, and checks of their results.
 
 use super::*;
 
-/// What one relay asks a quorum for.
+/// A request of a relay to a quorum.
 pub(super) enum QuorumRequest {
-    /// To keep a turn.
-    Keep(String),
-    /// To find one; whether it was kept when the question was asked.
-    Find(String, bool),
-    /// To let a turn of a program run.
+    /// Stores a turn.
+    Store(String),
+    /// Reads a turn; the flag is whether it was stored when the request was made.
+    Read(String, bool),
+    /// Claims budget for a turn of a program.
     Claim { program: String, entry: ClaimEntry },
-    /// To settle a claim.
+    /// Settles a claim.
     Settle { program: String, entry: ClaimEntry },
 }
 
 impl QuorumRequest {
     pub(super) fn record(&self) -> Option<Record> {
         match self {
-            QuorumRequest::Keep(id) => Some(Record::Turn(turn(id))),
-            QuorumRequest::Find(..) => None,
+            QuorumRequest::Store(id) => Some(Record::Turn(turn(id))),
+            QuorumRequest::Read(..) => None,
             QuorumRequest::Claim { program, entry } | QuorumRequest::Settle { program, entry } => {
                 Some(Record::ClaimEntry { program: program.clone(), entry: entry.clone() })
             }
@@ -27,19 +27,20 @@
 
     pub(super) fn placement_key(&self) -> &str {
         match self {
-            QuorumRequest::Keep(id) | QuorumRequest::Find(id, _) => id,
+            QuorumRequest::Store(id) | QuorumRequest::Read(id, _) => id,
             QuorumRequest::Claim { program, .. } | QuorumRequest::Settle { program, .. } => program,
         }
     }
 }
 
-/// A question that is out at the members of a key's groups.
+/// A request that is pending at the members of the key's groups.
 pub(super) struct PendingRequest {
     request: QuorumRequest,
     epoch: u64,
     quorum: Quorum,
     until: u64,
-    /// When each member gets it; then when what it did there is on its disk; then when its answer is back.
+    /// Time of arrival at each member. `written` holds the times at which the record is on the member's disk and its
+    /// response is sent.
     arriving: Vec<(u64, Ipv4Addr)>,
     written: Vec<(u64, Ipv4Addr, u64)>,
     summaries: Vec<ClaimSummary>,
@@ -47,7 +48,7 @@
 }
 
 impl TierSimulation {
-    /// A relay puts a question to a quorum.
+    /// Sends a request of a random relay to a quorum.
     pub(super) fn start_request(&mut self, request: QuorumRequest) {
         let relay = self.random_below(RELAYS as u32) as usize;
         let plan = self.relays[relay].clone();
@@ -73,13 +74,13 @@
         });
     }
 
-    /// A turn ends and is to be kept.
+    /// Stores a turn that has ended.
     pub fn store_turn(&mut self) {
         self.last_turn += 1;
-        self.start_request(QuorumRequest::Keep(format!("t{}", self.last_turn)));
+        self.start_request(QuorumRequest::Store(format!("t{}", self.last_turn)));
     }
 
-    /// A turn goes on from another, mostly one of the newest.
+    /// Reads the turn that another one continues, mostly one of the newest.
     pub fn read_turn(&mut self) {
         let most = self.last_turn.max(1) as u32;
         let back = if self.random_below(4) == 0 {
@@ -88,11 +89,11 @@
             self.random_below(10).min(most - 1)
         };
         let id = format!("t{}", most - back);
-        let is_kept = self.stored_turns.contains(&id);
-        self.start_request(QuorumRequest::Find(id, is_kept));
+        let was_stored = self.stored_turns.contains(&id);
+        self.start_request(QuorumRequest::Read(id, was_stored));
     }
 
-    /// A turn of a program is to run.
+    /// Claims budget for a turn of a program.
     pub fn claim_turn(&mut self) {
         self.last_turn += 1;
         let program = format!("p{}", self.last_turn / 60);
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Lets what is due of a question happen; false once it has ended.
+    /// Processes the due events of a request. Returns false once the request has ended.
     pub(super) fn advance(&mut self, pending: &mut PendingRequest) -> bool {
         let now = self.now();
         let (due, arriving) = pending.arriving.iter().copied().partition(|(at, _)| *at <= now);
@@ -120,7 +121,7 @@
         let due: Vec<(u64, Ipv4Addr)> = due;
         for (_, ip) in due {
             if !self.is_reachable_by_relays(ip) || self.random_below(30) == 0 {
-                // It is asked again.
+                // The request is sent again.
                 pending.arriving.push((now + 125 + u64::from(self.random_below(8)) * STEP, ip));
             } else if self.refuses_epoch(pending, ip) {
                 return false;
@@ -135,7 +136,8 @@
         due.into_iter().all(|(_, ip, incarnation)| self.answer(pending, ip, incarnation))
     }
 
-    /// A storage machine's disk has taken a question's record, and its answer goes back; false once the question has ended.
+    /// The record of a request is on a storage machine's disk, and the response is sent. Returns false once the request
+    /// has ended.
     pub(super) fn answer(&mut self, pending: &mut PendingRequest, ip: Ipv4Addr, incarnation: u64) -> bool {
         let now = self.now();
         let Some(store) =
@@ -147,16 +149,16 @@
         if let Some(record) = pending.request.record() {
             store.write(now, &record);
         }
-        let (is_newer, dark) = (store.epoch() > pending.epoch, store.isolated_until > now);
-        // By an older plan the turn may be looked for where it was never written.
-        let is_whole = store.is_complete() && !is_newer;
+        let (is_newer, is_dark) = (store.epoch() > pending.epoch, store.isolated_until > now);
+        // With an older plan, the turn may be looked up where it was never written.
+        let is_complete = store.is_complete() && !is_newer;
         if self.refuses_epoch(pending, ip) {
             return false;
         }
         let store = &self.stores[&ip];
         match &pending.request {
             QuorumRequest::Claim { program, .. } => {
-                if !is_whole {
+                if !is_complete {
                     pending.arriving.push((now + 125, ip));
                     return true;
                 }
@@ -164,24 +166,24 @@
                 pending.summaries.push(summary);
                 merge_claims(&mut pending.claims, claims);
             }
-            QuorumRequest::Find(id, is_kept) => {
+            QuorumRequest::Read(id, was_stored) => {
                 if store.holds_turn(id) {
                     return false;
                 }
-                if !is_whole || dark {
+                if !is_complete || is_dark {
                     return true;
                 }
                 if pending.quorum.count(ip) {
-                    if *is_kept {
-                        self.violations.push(format!("{now}: {id} was kept and is told to be nowhere"));
+                    if *was_stored {
+                        self.violations.push(format!("{now}: {id} was stored and is reported as missing"));
                     }
                     return false;
                 }
                 return true;
             }
-            QuorumRequest::Keep(_) | QuorumRequest::Settle { .. } => {}
+            QuorumRequest::Store(_) | QuorumRequest::Settle { .. } => {}
         }
-        if dark || self.random_below(30) == 0 {
+        if is_dark || self.random_below(30) == 0 {
             pending.arriving.push((now + 125, ip));
             return true;
         }
@@ -192,20 +194,20 @@
         false
     }
 
-    /// Whether a machine refuses to write by the relay's plan, for it knows a newer one.
+    /// Whether a machine refuses a request because it has a newer plan than the relay.
     pub(super) fn refuses_epoch(&mut self, pending: &PendingRequest, ip: Ipv4Addr) -> bool {
         let refuses =
-            self.stores[&ip].epoch() > pending.epoch && !matches!(pending.request, QuorumRequest::Find(..));
+            self.stores[&ip].epoch() > pending.epoch && !matches!(pending.request, QuorumRequest::Read(..));
         if refuses {
-            self.count_event("writes refused that went by an older plan");
+            self.count_event("writes with an outdated plan refused");
         }
         refuses
     }
 
     pub(super) fn complete_request(&mut self, pending: &PendingRequest) {
         match &pending.request {
-            QuorumRequest::Keep(id) => {
-                self.count_event("turns kept");
+            QuorumRequest::Store(id) => {
+                self.count_event("turns stored");
                 self.stored_turns.insert(id.clone());
             }
             QuorumRequest::Claim { program, entry } => {
@@ -223,15 +225,15 @@
                     self.violations
                         .push(format!("{}: {program} received {total} of {BUDGET}", self.control.now));
                 }
-                self.count_event(if fits { "turns let in" } else { "turns refused by their budget" });
-                // A relay that dies leaves its claim as it is.
+                self.count_event(if fits { "turns admitted" } else { "turns refused by their budget" });
+                // A relay that crashes leaves its claim unsettled.
                 if self.random_below(8) > 0 {
                     let entry = ClaimEntry { settled: Some(tokens), ..entry.clone() };
                     let program = program.clone();
                     self.start_request(QuorumRequest::Settle { program, entry });
                 }
             }
-            QuorumRequest::Find(..) | QuorumRequest::Settle { .. } => {}
+            QuorumRequest::Read(..) | QuorumRequest::Settle { .. } => {}
         }
     }
 }
