--- a/src/api.rs
+++ b/src/api.rs
@@ -1,25 +1,25 @@
-//! What the decision module receives, what it asks to be done, and the types both use.
+//! Input and output types of the decision module.
 //!
-//! Nothing here decides anything. Every time is a [`Duration`] since one arbitrary epoch that the caller
-//! picks and keeps; the clock handed to the module must never go back.
+//! There are no decisions here. Every time is a [`Duration`] since an epoch that the caller picks once; the
+//! clock passed to the module must be monotonic.
 
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::time::Duration;
 
-/// A message, as the caller names it. Never used twice.
+/// Identifies a message; never reused.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MessageId(pub u64);
 
-/// An endpoint: one address of a destination. The caller keeps the number for as long as the address is known.
+/// Identifies an endpoint, which is one address of a destination. Stable for as long as the address is in use.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointId(pub u32);
 
-/// A destination: the partner system that a message is for.
+/// A destination: the partner system that a message is addressed to.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DestinationId(pub u64);
 
-/// What an ordered message is about; messages with the same key take turns.
+/// Ordering key: messages with the same key are sent one at a time, in order.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderKey(pub u64);
 
@@ -39,60 +39,60 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KindId(pub usize);
 
-/// Which endpoints of a destination drop the repeats of a keyed message.
+/// Endpoints of a destination that drop repeats of a keyed message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RepeatGroup {
     /// Any endpoint of the destination.
     All,
     /// Only endpoints in the zone of the first attempt that may have run.
     Zone,
-    /// Only the very endpoint of that attempt. Use this where the group is not known.
+    /// Only the endpoint of that attempt. Use this if the group is unknown.
     Endpoint,
 }
 
-/// What a repeat of a message does.
+/// Effect of repeating a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
     /// Safe to repeat.
     Repeatable,
-    /// A repeat is dropped inside the group and the window, counted from the send of the first attempt that
-    /// may have run.
+    /// A repeat is dropped within the group and the window, counted from the send of the first attempt that may
+    /// have run.
     Keyed {
-        /// Where the key is known.
+        /// Endpoints that recognise the key.
         group: RepeatGroup,
-        /// For how long.
+        /// How long the key is recognised.
         window: Duration,
     },
-    /// Must never take effect twice.
+    /// Must never be executed twice.
     Once,
 }
 
 /// A class of messages.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassSettings {
-    /// Delivered within this time of being handed in, a message earns its full worth.
+    /// Latency target: a message delivered within this time of its submission earns its full utility.
     #[serde(rename = "aim")]
     pub target_latency: Duration,
-    /// A message is given up this long after it was first handed in.
+    /// A message is given up this long after its first submission.
     pub deadline: Duration,
-    /// Worth of a message on time.
+    /// Utility of a message delivered within the latency target.
     #[serde(rename = "worth")]
     pub utility: f64,
-    /// Share of the worth left at the deadline.
+    /// Share of the utility that remains at the deadline.
     #[serde(rename = "late_worth")]
     pub late_utility: f64,
-    /// What a repeat does.
+    /// Effect of a repeat.
     pub effect: Effect,
-    /// Messages of this class with the same key take turns.
+    /// Messages of this class with the same key are sent in order, one at a time.
     pub ordered: bool,
 }
 
 /// A kind of destination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KindSettings {
-    /// Messages that may share one call.
+    /// Maximum number of messages that share one call.
     pub per_call: usize,
-    /// True where each endpoint is a route of its own, with its own limit, waits and outages.
+    /// True if each endpoint is a route of its own, with its own limit, waits and outages.
     #[serde(rename = "routes_apart")]
     pub independent_routes: bool,
 }
@@ -100,31 +100,31 @@
 /// A tenant's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct TenantSettings {
-    /// Messages a second over all senders that count as within the tenant's share.
+    /// Messages per second, over all senders, that count as within the tenant's share.
     pub quota_per_s: f64,
 }
 
-/// How worth falls once the aim has passed.
+/// How utility decreases after the latency target has passed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UtilityDecay {
-    /// Evenly, down to the late share at the deadline.
+    /// Linearly, down to the late share at the deadline.
     #[serde(rename = "Line")]
     Linear,
-    /// By half with each further aim, never under the late share.
+    /// By half with each further latency target, never below the late share.
     #[serde(rename = "Halves")]
     Halving,
 }
 
-/// What the rate of an endpoint ([`EndpointInfo::rate`]) says.
+/// Meaning of an endpoint's rate ([`EndpointInfo::rate`]).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RateSource {
-    /// Nothing.
+    /// No meaning.
     None,
-    /// Calls a second that the destination (or route) takes from all senders together.
+    /// Calls per second that the destination (or route) accepts from all senders together.
     Nominal,
 }
 
-/// What a controller is told once, at its start.
+/// Settings of a controller, fixed at its start.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
     /// Classes of messages, at least one.
@@ -133,108 +133,112 @@
     pub kinds: Vec<KindSettings>,
     /// Tenants; may be empty.
     pub tenants: Vec<TenantSettings>,
-    /// Worth of a message above its tenant's share, as a fraction of its class's worth.
+    /// Weight of a message above its tenant's quota, as a fraction of its class's utility.
     #[serde(rename = "over_share_worth")]
     pub over_quota_weight: f64,
-    /// How worth falls after the aim.
+    /// How utility decreases after the latency target.
     #[serde(rename = "late")]
     pub utility_decay: UtilityDecay,
-    /// What endpoint rates say.
+    /// Meaning of endpoint rates.
     pub rate_source: RateSource,
-    /// Senders that share the destinations, this one included.
+    /// Number of senders that share the destinations, including this one.
     pub senders: u32,
-    /// Cost of a fresh connection.
+    /// Cost of a new connection.
     pub handshake_cost: f64,
-    /// Calls that may be out at once.
+    /// Maximum number of calls in flight.
     pub max_calls: usize,
-    /// Messages that may be held at once.
+    /// Maximum number of messages held.
     pub max_held: usize,
-    /// Most attempts for a message.
+    /// Maximum number of attempts per message.
     pub max_attempts: u32,
     /// Whether endpoints may be probed.
     pub probes: bool,
-    /// Whether attempts may be called off.
+    /// Whether attempts may be cancelled.
     pub cancelling: bool,
-    /// Whether the endpoint list has to be asked for.
+    /// Whether the endpoint list must be requested.
     pub ask_for_list: bool,
-    /// Where it has to be asked for: one who has no subscription and has not asked for this long counts as told
-    /// of all that the list said that long ago.
+    /// For lists that must be requested: a sender without a subscription whose last request is older than this
+    /// counts as having received everything the list contained at that age.
     #[serde(rename = "must_ask_within")]
     pub max_list_age: Duration,
-    /// Longest time that a client stays away when told to.
+    /// Longest wait that a client observes.
     pub max_client_wait: Duration,
     /// Shortest time between two batches.
     pub tick: Duration,
-    /// A connection not up after this long is given up.
+    /// Time limit for establishing a connection.
     pub connect_timeout: Duration,
-    /// Idle connections close after this long.
+    /// Idle connections are closed after this time.
     pub keepalive: Duration,
-    /// A destination back from an outage has this share of its capacity, or more.
+    /// Lower bound of the share of its capacity that a destination has when it returns from an outage.
     pub start_capacity: f64,
-    /// It has all its capacity after this long at the latest.
+    /// Time after which it has its full capacity again, at the latest.
     pub cold_time: Duration,
-    /// It falls over when sent more than this multiple of its capacity of the moment...
+    /// It becomes overloaded when it receives more than this multiple of its current capacity...
     pub overload_factor: f64,
-    /// ...for this long.
+    /// ...for this time.
     pub overload_span: Duration,
-    /// How long a key rests after an attempt that may still be running.
+    /// Cooldown of a key after an attempt that may still be running.
     #[serde(rename = "key_rest")]
     pub key_cooldown: Duration,
 }
 
 impl Settings {
-    /// Tells what, if anything, cannot work.
+    /// Checks that the settings can work.
     ///
     /// # Errors
-    /// The first figure found that is missing, zero where it must not be, negative or not finite.
+    ///
+    /// The first value that is missing, zero where that is not allowed, negative or not finite.
     pub fn check(&self) -> Result<(), SettingsError> {
         let valid = |v: f64| v.is_finite() && v >= 0.0;
         let checks = [
-            (!self.classes.is_empty(), "there is no class"),
-            (self.max_calls > 0, "there is no slot"),
-            (self.max_held > 0, "there is no room for messages"),
+            (!self.classes.is_empty(), "no class is defined"),
+            (self.max_calls > 0, "no slot for calls"),
+            (self.max_held > 0, "no capacity for messages"),
             (self.max_attempts > 0, "no attempt is allowed"),
-            (self.senders > 0, "there is no sender"),
+            (self.senders > 0, "no sender"),
             (!self.tick.is_zero(), "the tick is zero"),
-            (self.classes.iter().all(|c| !c.deadline.is_zero()), "a class has no time at all"),
-            (self.classes.iter().all(|c| valid(c.utility)), "a class's worth is no figure"),
-            (self.classes.iter().all(|c| valid(c.late_utility)), "a class's late worth is no figure"),
-            (self.kinds.iter().all(|k| k.per_call > 0), "a call carries no message"),
-            (self.tenants.iter().all(|t| valid(t.quota_per_s)), "a quota is no figure"),
-            (valid(self.start_capacity), "the start capacity is no figure"),
-            (valid(self.overload_factor), "the overload factor is no figure"),
-            (valid(self.over_quota_weight), "the worth above a share is no figure"),
-            (valid(self.handshake_cost), "the price of a connection is no figure"),
+            (self.classes.iter().all(|c| !c.deadline.is_zero()), "a class has no time before its deadline"),
+            (self.classes.iter().all(|c| valid(c.utility)), "a class's utility is not a valid number"),
+            (
+                self.classes.iter().all(|c| valid(c.late_utility)),
+                "a class's late utility is not a valid number",
+            ),
+            (self.kinds.iter().all(|k| k.per_call > 0), "a call holds no message"),
+            (self.tenants.iter().all(|t| valid(t.quota_per_s)), "a quota is not a valid number"),
+            (valid(self.start_capacity), "the start capacity is not a valid number"),
+            (valid(self.overload_factor), "the overload factor is not a valid number"),
+            (valid(self.over_quota_weight), "the weight above a quota is not a valid number"),
+            (valid(self.handshake_cost), "the cost of a connection is not a valid number"),
         ];
         checks.iter().find(|(good, _)| !good).map_or(Ok(()), |(_, what)| Err(SettingsError(what)))
     }
 }
 
-/// Settings that cannot work.
+/// Invalid settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError(pub &'static str);
 
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "settings cannot work: {}", self.0)
+        write!(f, "invalid settings: {}", self.0)
     }
 }
 
 impl std::error::Error for SettingsError {}
 
-/// What the list says of an endpoint. It never says anything of its health.
+/// State of an endpoint in the list; it carries no health information.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListState {
     /// Listed.
     Live,
-    /// Send nothing new.
+    /// No new calls.
     Draining,
     /// Removed.
     #[default]
     Gone,
 }
 
-/// One line of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointInfo {
     /// The endpoint.
@@ -247,11 +251,11 @@
     pub zone: ZoneId,
     /// Listed, draining or gone.
     pub state: ListState,
-    /// What [`Settings::rate_source`] says: calls a second.
+    /// Calls per second, with the meaning given by [`Settings::rate_source`].
     pub rate: f64,
 }
 
-/// A message handed in; one final answer is owed for it from now on.
+/// A submitted message. It receives exactly one final answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NewMessage {
     /// Its id.
@@ -260,24 +264,24 @@
     pub class: ClassId,
     /// Its tenant, where there are tenants.
     pub tenant: Option<TenantId>,
-    /// Its key, for ordered classes.
+    /// Its ordering key, for ordered classes.
     pub key: Option<OrderKey>,
-    /// Where it goes.
+    /// Destination to deliver to.
     pub destination: DestinationId,
-    /// Time until it is given up.
+    /// Time until its deadline.
     pub remaining: Duration,
-    /// What was done for it before this controller's start.
+    /// Attempts made before this controller started.
     pub past: Past,
 }
 
-/// What earlier processes did for a message that outlived them.
+/// State of a message from earlier processes.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Past {
-    /// An earlier process held it: it waits for its first timer, as what was sent before.
+    /// An earlier process held it: it starts in backoff, like a message that was sent before.
     pub held: bool,
-    /// Attempts already sent; the next is numbered so.
+    /// Attempts already sent; also the number of the next attempt.
     pub attempts: u32,
-    /// The first attempt that may have run: how long ago it was sent, and where.
+    /// The first attempt that may have run: how long ago it was sent, and to which endpoint.
     pub risk: Option<(Duration, EndpointId)>,
 }
 
@@ -286,43 +290,43 @@
 pub enum Outcome {
     /// Delivered.
     Success,
-    /// An error came back; it may have taken effect.
+    /// Answered with an error; it may have taken effect.
     Failure,
-    /// Turned away unseen. It never ran.
+    /// Refused without being executed.
     Overloaded {
-        /// How long to send nothing there, if told.
+        /// How long to send nothing there, if stated.
         wait: Option<Duration>,
     },
-    /// No answer in time; it may have taken effect, or may still.
+    /// No answer in time; it may have taken effect, or may still do so.
     TimedOut,
-    /// No connection. It never ran.
+    /// No connection; it was not executed.
     Unreachable,
     /// The connection broke; it may have taken effect.
     Broken,
-    /// Called off; it may have taken effect.
+    /// Cancelled; it may have taken effect.
     Withdrawn,
-    /// Never sent: no slot, time up, or too many attempts.
+    /// Never sent: no slot, deadline passed, or too many attempts.
     Void,
 }
 
 impl Outcome {
-    /// Whether this proves that the attempt never ran.
+    /// Whether the outcome proves that the attempt was never executed.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Overloaded { .. } | Outcome::Unreachable | Outcome::Void)
     }
 
-    /// Whether the attempt may be running still.
+    /// Whether the attempt may still be running.
     pub fn may_still_run(self) -> bool {
         matches!(self, Outcome::TimedOut | Outcome::Broken | Outcome::Withdrawn)
     }
 }
 
-/// What an answer told of its sender's limit.
+/// A rate limit as reported in an answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitReport {
     /// Share of the allowance that is left.
     pub left: f64,
-    /// Calls a second that the limit allows; zero where there is none.
+    /// Calls per second that the limit allows; zero if there is none.
     pub rate: f64,
 }
 
@@ -333,80 +337,80 @@
     pub id: MessageId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// Where it went.
+    /// Endpoint that it was sent to.
     pub endpoint: EndpointId,
     /// How it ended.
     pub outcome: Outcome,
     /// Time since the send.
     pub elapsed: Duration,
-    /// The message is over; no final answer is owed any more.
+    /// The message is finished and needs no final answer.
     pub terminal: bool,
-    /// What the answer said of its limit.
+    /// Limit reported in the answer.
     pub limit: Option<LimitReport>,
 }
 
-/// What happened to the sender. All events of one `step` happen at its clock.
+/// An event at the sender. All events of one `step` occur at its clock.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A message was handed in.
+    /// A message was submitted.
     Message(NewMessage),
-    /// An attempt ended. Every [`Action::Send`] gets exactly one of these.
+    /// An attempt ended. Every [`Action::Send`] is followed by exactly one of these.
     Outcome(AttemptEnd),
-    /// The client has withdrawn the message. Nothing is owed for it; attempts that are out still end.
+    /// The client withdrew the message: it needs no answer. Attempts in flight still end.
     Withdrawn(MessageId),
     /// A timer set by [`Action::Wake`] is due.
     Wake(u64),
-    /// A probe set off by [`Action::Probe`] ended.
+    /// A probe requested by [`Action::Probe`] ended.
     Probed {
         /// The endpoint.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// What the answer said of its limit.
+        /// Limit reported in the answer.
         limit: Option<LimitReport>,
     },
-    /// Changed lines of the endpoint list.
+    /// Changed entries of the endpoint list.
     ListUpdate(Vec<EndpointInfo>),
-    /// The whole endpoint list; what is not in it is gone.
+    /// The complete endpoint list; endpoints that are not in it are gone.
     ListReplaced(Vec<EndpointInfo>),
-    /// The list could not be had, or the subscription broke. The previous list stands.
+    /// The list is unavailable or the subscription broke. The previous list stays in effect.
     ListUnavailable,
 }
 
-/// What the module asks the caller to do, in this order, at the clock of the step.
+/// A request to the caller, to be carried out in order at the clock of the step.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Call the endpoint with the message. Sends of one step to one endpoint share a call as far as its kind
+    /// Send the message to the endpoint. Sends of one step to one endpoint share a call as far as its kind
     /// allows.
     Send {
         /// The message.
         id: MessageId,
         /// The endpoint.
         endpoint: EndpointId,
-        /// When to give the attempt up.
+        /// When to give up the attempt.
         give_up_at: Duration,
     },
-    /// Final answer: handed back, and handing it in again is harmless.
+    /// Final answer: refused; submitting the message again is harmless.
     Refuse {
         /// The message.
         id: MessageId,
-        /// How long the client should stay away; zero for no advice.
+        /// How long the client should wait before resubmitting; zero for no advice.
         wait: Duration,
     },
-    /// Final answer: given up, with no promise about its effect.
+    /// Final answer: failed; the message may or may not have taken effect.
     Fail(MessageId),
-    /// Stop waiting for an attempt. Its outcome still comes.
+    /// Stop waiting for an attempt. Its outcome is still reported.
     Cancel {
         /// The message.
         id: MessageId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Call `step` with [`Event::Wake`] once this time has passed.
+    /// Call `step` with [`Event::Wake`] after this time.
     Wake {
         /// Time from now.
         after: Duration,
-        /// Comes back with the event.
+        /// Returned with the event.
         token: u64,
     },
     /// Close the idle connections to the endpoint.
@@ -417,61 +421,61 @@
     Subscribe,
     /// A line for the log.
     Log(String),
-    /// Nothing to be done: something that happened, for whoever keeps an account.
+    /// Reports an internal event, for observers; there is nothing to carry out.
     Note(Note),
 }
 
-/// What an endpoint is taken for. Down: only trials. Warming: back, or failing most calls, since then, and within
-/// the cold budget.
+/// Health of an endpoint. `Down`: trials only. `Warming`: recovered, or failing most calls, since the given
+/// time, and limited to the cold budget.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum Health {
-    /// It takes what it is sent.
+    /// Accepts calls.
     #[default]
     Well,
-    /// It does not.
+    /// Unavailable.
     Down,
-    /// It is cold, since this time.
+    /// Cold since this time.
     Warming(Duration),
 }
 
-/// What happened inside the module.
+/// An internal event of the module.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Note {
-    /// An endpoint is taken for something else; after which outcome, or by its silence.
+    /// The health of an endpoint changed from the first to the second value, by an outcome, or by its silence
+    /// (`None`).
     Health(EndpointId, Health, Health, Option<Outcome>),
-    /// The timer of a message that waits for another attempt fired: the how manieth time, and whether the roll by
-    /// the retransmission law was won.
+    /// The backoff timer of a message fired for the given number of times; whether the retry policy allowed a
+    /// resend.
     Timer(MessageId, u32, bool),
 }
 
-/// Proposes an order of preference among the endpoints of a destination. The module disposes: it asks for a
-/// proposal where it is about to choose, and takes the first endpoint that it would allow. Health, waits,
-/// drains, cold ramps, slots and repeated attempts stay the module's.
+/// Proposes an order of preference among the endpoints of a destination. The module asks for a proposal when it
+/// chooses an endpoint, and takes the first one that it allows. Health, waits, drains, cold ramps, slots and
+/// repeated attempts remain the module's decision.
 pub trait Proposer: std::fmt::Debug {
-    /// Names endpoints until one is allowed. A proposer that has no opinion on a destination says
+    /// Proposes endpoints until one is allowed. For a destination that it does not cover, a proposer returns
     /// [`Proposed::NoOpinion`], and the module chooses by itself.
     fn propose(
         &mut self, destination: DestinationId, message: MessageId,
         allowed: &mut dyn FnMut(EndpointId) -> bool,
     ) -> Proposed;
 
-    /// So many calls to the endpoint are out.
+    /// Reports the number of open calls to the endpoint.
     fn set_open_calls(&mut self, endpoint: EndpointId, calls_out: usize);
 }
 
-/// What a proposal came to.
+/// Result of a proposal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Proposed {
-    /// The destination is not among those that the proposer orders.
+    /// The proposer does not cover the destination.
     NoOpinion,
     /// None of its endpoints was allowed.
     NoneAllowed,
-    /// This one was.
+    /// This endpoint was allowed.
     Endpoint(EndpointId),
 }
 
-/// Where a controller keeps its proposer. It is never part of a controller's written state: whoever reads that back
-/// sets its own.
+/// Holds a controller's proposer. It is not part of the serialised state: set it again after deserialising.
 #[derive(Debug, Default)]
 pub struct ProposerCell(RefCell<Option<Box<dyn Proposer>>>);
 
--- a/src/bin/onyxstile-adapter/fields.rs
+++ b/src/bin/onyxstile-adapter/fields.rs
@@ -36,12 +36,12 @@
 }
 
 /// A value shortened and stripped of control characters, fit for an error line.
-pub fn shown(value: &str) -> String {
+pub fn excerpt(value: &str) -> String {
     value.chars().filter(|c| !c.is_control()).take(40).collect()
 }
 
 /// The same for a whole message.
-pub fn shown_long(message: &str) -> String {
+pub fn long_excerpt(message: &str) -> String {
     message.chars().filter(|c| !c.is_control()).take(160).collect()
 }
 
@@ -67,7 +67,7 @@
     }
 
     /// The next part; `-` and a missing part are both absent.
-    pub fn maybe(&mut self, field: &'static str) -> Result<Option<&'a str>, Malformed> {
+    pub fn optional(&mut self, field: &'static str) -> Result<Option<&'a str>, Malformed> {
         if self.rest.is_none() {
             return Ok(None);
         }
@@ -83,8 +83,8 @@
         parse(self.word(field)?, field)
     }
 
-    pub fn maybe_number<T: FromStr>(&mut self, field: &'static str) -> Result<Option<T>, Malformed> {
-        self.maybe(field)?.map(|w| parse(w, field)).transpose()
+    pub fn optional_number<T: FromStr>(&mut self, field: &'static str) -> Result<Option<T>, Malformed> {
+        self.optional(field)?.map(|w| parse(w, field)).transpose()
     }
 
     pub fn time(&mut self, field: &'static str) -> Result<Duration, Malformed> {
@@ -95,27 +95,27 @@
         match self.word(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
-            other => Err(Malformed::new(field, format!("`{}` is neither 0 nor 1", shown(other)))),
+            other => Err(Malformed::new(field, format!("`{}` is neither 0 nor 1", excerpt(other)))),
         }
     }
 
     /// Nothing may be left.
     pub fn end(&mut self) -> Result<(), Malformed> {
         match self.rest.take() {
-            Some(rest) => Err(Malformed::new("end of line", format!("`{}` is left over", shown(rest)))),
+            Some(rest) => Err(Malformed::new("end of line", format!("`{}` is unexpected", excerpt(rest)))),
             None => Ok(()),
         }
     }
 }
 
 fn parse<T: FromStr>(word: &str, field: &'static str) -> Result<T, Malformed> {
-    word.parse().map_err(|_| Malformed::new(field, format!("`{}` is no fitting number", shown(word))))
+    word.parse().map_err(|_| Malformed::new(field, format!("`{}` is not a valid number", excerpt(word))))
 }
 
 /// Milliseconds as written, to the microsecond, without passing through floating point. Times in the past
 /// count as none.
 pub fn time(word: &str, field: &'static str) -> Result<Duration, Malformed> {
-    let bad = || Malformed::new(field, format!("`{}` is no time in milliseconds", shown(word)));
+    let bad = || Malformed::new(field, format!("`{}` is not a time in milliseconds", excerpt(word)));
     let (negative, digits) = match word.strip_prefix('-') {
         Some(digits) => (true, digits),
         None => (false, word),
--- a/src/bin/onyxstile-adapter/host.rs
+++ b/src/bin/onyxstile-adapter/host.rs
@@ -1,6 +1,6 @@
 //! Many controllers behind one pipe.
 
-use crate::fields::{Fields, Malformed, shown, shown_long, write_ms};
+use crate::fields::{Fields, Malformed, excerpt, long_excerpt, write_ms};
 use onyxstile::Controller;
 use onyxstile::api::*;
 use onyxstile::settings::{self, Names};
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 /// List numbers run from 0 to 15.
-const SHEETS: usize = 16;
+const MAX_LISTS: usize = 16;
 
 /// One line of a list, not yet tied to an instance.
 #[derive(Clone)]
-pub struct Row {
+pub struct ListEntry {
     endpoint: String,
     zone: String,
     kind: String,
@@ -23,25 +23,25 @@
     line: u64,
 }
 
-impl Row {
+impl ListEntry {
     pub fn parse(fields: &mut Fields<'_>, line: u64) -> Result<Self, Malformed> {
         let endpoint = fields.word("endpoint")?.to_string();
         let zone = fields.word("site")?.to_string();
         let kind = fields.word("hw")?.to_string();
-        let destination = DestinationId(whole(fields.word("cell")?, "cell")?);
+        let destination = DestinationId(integer(fields.word("cell")?, "cell")?);
         let state = match fields.word("stageState")? {
             "live" => ListState::Live,
             "quiescing" => ListState::Draining,
             "dead" => ListState::Gone,
             other => {
-                return Err(Malformed::new("stageState", format!("`{}` is not known", shown(other))));
+                return Err(Malformed::new("stageState", format!("`{}` is unknown", excerpt(other))));
             }
         };
-        let rate = fields.maybe_number::<f64>("units")?.unwrap_or(0.0);
-        if fields.maybe("sinceMs")?.map(|w| crate::fields::time(w, "sinceMs")).transpose().is_err() {
-            return Err(Malformed::new("sinceMs", "is no time in milliseconds"));
+        let rate = fields.optional_number::<f64>("units")?.unwrap_or(0.0);
+        if fields.optional("sinceMs")?.map(|w| crate::fields::time(w, "sinceMs")).transpose().is_err() {
+            return Err(Malformed::new("sinceMs", "is not a time in milliseconds"));
         }
-        Ok(Row { endpoint, zone, kind, destination, state, rate, line })
+        Ok(ListEntry { endpoint, zone, kind, destination, state, rate, line })
     }
 }
 
@@ -51,7 +51,7 @@
     endpoints: BTreeMap<String, EndpointId>,
     addresses: Vec<String>,
     events: Vec<Event>,
-    spoken_to: bool,
+    addressed: bool,
 }
 
 impl Instance {
@@ -65,16 +65,16 @@
         id
     }
 
-    fn info(&mut self, row: &Row) -> Result<EndpointInfo, Malformed> {
-        let kind = index(&self.names.kinds, &row.kind, "hw").map_err(|e| e.at_line(row.line))?;
-        let zone = index(&self.names.zones, &row.zone, "site").map_err(|e| e.at_line(row.line))?;
+    fn info(&mut self, entry: &ListEntry) -> Result<EndpointInfo, Malformed> {
+        let kind = index(&self.names.kinds, &entry.kind, "hw").map_err(|e| e.at_line(entry.line))?;
+        let zone = index(&self.names.zones, &entry.zone, "site").map_err(|e| e.at_line(entry.line))?;
         Ok(EndpointInfo {
-            id: self.endpoint(&row.endpoint),
-            destination: row.destination,
+            id: self.endpoint(&entry.endpoint),
+            destination: entry.destination,
             kind: KindId(kind),
             zone: ZoneId(zone),
-            state: row.state,
-            rate: row.rate,
+            state: entry.state,
+            rate: entry.rate,
         })
     }
 }
@@ -85,8 +85,8 @@
     started: bool,
     current: Option<u64>,
     instances: BTreeMap<u64, Instance>,
-    sheets: Vec<Option<Vec<Row>>>,
-    open_sheet: usize,
+    lists: Vec<Option<Vec<ListEntry>>>,
+    open_list: usize,
 }
 
 impl Host {
@@ -96,15 +96,15 @@
             started: false,
             current: None,
             instances: BTreeMap::new(),
-            sheets: vec![None; SHEETS],
-            open_sheet: 0,
+            lists: vec![None; MAX_LISTS],
+            open_list: 0,
         }
     }
 
     /// A batch opens.
     pub fn begin(&mut self, clock: Duration) -> Result<(), Malformed> {
         if self.started && clock < self.now {
-            return Err(Malformed::new("clock", "runs backwards"));
+            return Err(Malformed::new("clock", "is earlier than the previous one"));
         }
         self.now = clock;
         self.started = true;
@@ -113,22 +113,22 @@
     }
 
     /// A list opens; returns how many entries follow.
-    pub fn sheet(&mut self, fields: &mut Fields<'_>) -> Result<usize, Malformed> {
-        let sheet: usize = fields.number("sheet")?;
-        if sheet >= SHEETS {
-            return Err(Malformed::new("sheet", format!("{sheet} is above {}", SHEETS - 1)));
+    pub fn begin_list(&mut self, fields: &mut Fields<'_>) -> Result<usize, Malformed> {
+        let number: usize = fields.number("sheet")?;
+        if number >= MAX_LISTS {
+            return Err(Malformed::new("sheet", format!("{number} is above {}", MAX_LISTS - 1)));
         }
         let entries = fields.number("membersList")?;
         fields.end()?;
-        self.open_sheet = sheet;
-        self.sheets[sheet] = Some(Vec::new());
+        self.open_list = number;
+        self.lists[number] = Some(Vec::new());
         Ok(entries)
     }
 
     /// The next entry of the open list.
-    pub fn row(&mut self, row: Row) {
-        if let Some(rows) = &mut self.sheets[self.open_sheet] {
-            rows.push(row);
+    pub fn add_entry(&mut self, entry: ListEntry) {
+        if let Some(entries) = &mut self.lists[self.open_list] {
+            entries.push(entry);
         }
     }
 
@@ -138,11 +138,11 @@
             self.current = Some(fields.number("sender")?);
             return fields.end();
         }
-        let sender = self.current.ok_or_else(|| Malformed::new("on", "no instance has been named yet"))?;
+        let sender = self.current.ok_or_else(|| Malformed::new("on", "no instance has been selected yet"))?;
         if name == "launch" {
             let seed: u64 = fields.number("entropy")?;
             let (settings, names) = settings::read(fields.text("config")?)
-                .map_err(|e| Malformed::new("config", shown_long(&e.to_string())))?;
+                .map_err(|e| Malformed::new("config", long_excerpt(&e.to_string())))?;
             let controller = Controller::new(settings, seed, self.now)
                 .map_err(|e| Malformed::new("config", e.to_string()))?;
             let fresh = Instance {
@@ -151,7 +151,7 @@
                 endpoints: BTreeMap::new(),
                 addresses: Vec::new(),
                 events: Vec::new(),
-                spoken_to: true,
+                addressed: true,
             };
             self.instances.insert(sender, fresh);
             return Ok(());
@@ -163,37 +163,38 @@
         let Some(instance) = self.instances.get_mut(&sender) else {
             return Err(Malformed::new("sender", format!("instance {sender} has not been launched")));
         };
-        instance.spoken_to = true;
+        instance.addressed = true;
         match name {
             "announce" => {
                 let how = fields.word("how")?;
-                let sheet: Option<usize> = fields.maybe_number("sheet")?;
-                fields.maybe_number::<u64>("seqNo")?;
+                let list_number: Option<usize> = fields.optional_number("sheet")?;
+                fields.optional_number::<u64>("seqNo")?;
                 if how == "unavailable" {
                     instance.events.push(Event::ListUnavailable);
                     return Ok(());
                 }
-                let rows = sheet.and_then(|s| self.sheets.get(s)).and_then(Option::as_ref);
-                let rows = rows.ok_or_else(|| Malformed::new("sheet", "names no list sent before"))?;
-                let list = rows.iter().map(|r| instance.info(r)).collect::<Result<Vec<_>, _>>()?;
+                let entries = list_number.and_then(|s| self.lists.get(s)).and_then(Option::as_ref);
+                let entries =
+                    entries.ok_or_else(|| Malformed::new("sheet", "refers to no list sent before"))?;
+                let list = entries.iter().map(|r| instance.info(r)).collect::<Result<Vec<_>, _>>()?;
                 instance.events.push(match how {
                     "update" => Event::ListUpdate(list),
                     "replace" | "restored" => Event::ListReplaced(list),
-                    other => return Err(Malformed::new("how", format!("`{}` is not known", shown(other)))),
+                    other => return Err(Malformed::new("how", format!("`{}` is unknown", excerpt(other)))),
                 });
             }
             "order" => {
                 let id = MessageId(fields.number("xid")?);
                 let class = ClassId(index(&instance.names.classes, fields.word("band")?, "band")?);
-                let tenant = match fields.maybe("account")? {
+                let tenant = match fields.optional("account")? {
                     None | Some("0") => None,
                     Some(name) => Some(TenantId(index(&instance.names.tenants, name, "account")?)),
                 };
-                let key = fields.maybe_number("targetKey")?.map(OrderKey);
+                let key = fields.optional_number("targetKey")?.map(OrderKey);
                 let remaining = fields.time("remainingMs")?;
-                fields.maybe("weightHintMs")?;
-                let destination = DestinationId(whole(fields.word("terminatesAt")?, "terminatesAt")?);
-                fields.maybe_number::<u64>("marks")?;
+                fields.optional("weightHintMs")?;
+                let destination = DestinationId(integer(fields.word("terminatesAt")?, "terminatesAt")?);
+                fields.optional_number::<u64>("marks")?;
                 instance.events.push(Event::Message(NewMessage {
                     id,
                     class,
@@ -211,7 +212,8 @@
                 let reason = fields.word("reason")?;
                 let elapsed = fields.time("spentMs")?;
                 let terminal = fields.flag("terminal")?;
-                let detail = fields.maybe("detail")?.map(|w| crate::fields::time(w, "detail")).transpose()?;
+                let detail =
+                    fields.optional("detail")?.map(|w| crate::fields::time(w, "detail")).transpose()?;
                 let outcome = outcome(reason, detail)?;
                 let limit = limit_report(fields)?;
                 let end = AttemptEnd { id, attempt, endpoint, outcome, elapsed, terminal, limit };
@@ -235,10 +237,10 @@
             }
             "whisper" => {
                 fields.number::<u64>("neighbour")?;
-                fields.maybe("bytes")?;
+                fields.optional("bytes")?;
             }
             other => {
-                return Err(Malformed::new("message name", format!("`{}` is not known", shown(other))));
+                return Err(Malformed::new("message name", format!("`{}` is unknown", excerpt(other))));
             }
         }
         fields.end()
@@ -248,7 +250,7 @@
     pub fn finish(&mut self, reply: &mut String) {
         let mut actions = Vec::new();
         for (number, instance) in &mut self.instances {
-            if !std::mem::take(&mut instance.spoken_to) {
+            if !std::mem::take(&mut instance.addressed) {
                 continue;
             }
             actions.clear();
@@ -294,14 +296,14 @@
 
 fn index(names: &[String], name: &str, field: &'static str) -> Result<usize, Malformed> {
     let found = names.iter().position(|n| n == name);
-    found.ok_or_else(|| Malformed::new(field, format!("`{}` is not in the settings", shown(name))))
+    found.ok_or_else(|| Malformed::new(field, format!("`{}` is not in the settings", excerpt(name))))
 }
 
 /// A whole number that may be written with a fraction of zero.
-fn whole(word: &str, field: &'static str) -> Result<u64, Malformed> {
+fn integer(word: &str, field: &'static str) -> Result<u64, Malformed> {
     let digits = word.split_once('.').filter(|(_, part)| part.bytes().all(|b| b == b'0'));
     let digits = digits.map_or(word, |(whole, _)| whole);
-    digits.parse().map_err(|_| Malformed::new(field, format!("`{}` is no whole number", shown(word))))
+    digits.parse().map_err(|_| Malformed::new(field, format!("`{}` is not an integer", excerpt(word))))
 }
 
 fn outcome(reason: &str, detail: Option<Duration>) -> Result<Outcome, Malformed> {
@@ -314,20 +316,23 @@
         "broken" => Outcome::Broken,
         "withdrawn" => Outcome::Withdrawn,
         "void" => Outcome::Void,
-        other => return Err(Malformed::new("reason", format!("`{}` is not known", shown(other)))),
+        other => return Err(Malformed::new("reason", format!("`{}` is unknown", excerpt(other)))),
     })
 }
 
 fn limit_report(fields: &mut Fields<'_>) -> Result<Option<LimitReport>, Malformed> {
-    let Some(pairs) = fields.maybe("healthInfo")? else { return Ok(None) };
+    let Some(pairs) = fields.optional("healthInfo")? else { return Ok(None) };
     let (mut left, mut rate) = (None, None);
     for pair in pairs.split(',') {
         let Some((name, value)) = pair.split_once(':') else {
-            return Err(Malformed::new("healthInfo", format!("`{}` is no name and value", shown(pair))));
+            return Err(Malformed::new(
+                "healthInfo",
+                format!("`{}` is not a name and a value", excerpt(pair)),
+            ));
         };
         let value = value.parse::<f64>().ok().filter(|v| v.is_finite());
-        let value =
-            value.ok_or_else(|| Malformed::new("healthInfo", format!("`{}` has no number", shown(pair))))?;
+        let value = value
+            .ok_or_else(|| Malformed::new("healthInfo", format!("`{}` has no number", excerpt(pair))))?;
         match name {
             "x0" => left = Some(value),
             "x1" => rate = Some(value),
--- a/src/bin/onyxstile-adapter/main.rs
+++ b/src/bin/onyxstile-adapter/main.rs
@@ -5,7 +5,7 @@
 mod host;
 
 use fields::{Fields, Malformed};
-use host::{Host, Row};
+use host::{Host, ListEntry};
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
@@ -26,7 +26,7 @@
     let mut line = Vec::new();
     let mut number = 0u64;
     let mut in_batch = false;
-    let mut rows_due = 0usize;
+    let mut entries_due = 0usize;
     loop {
         line.clear();
         let read = input.read_until(b'\n', &mut line).map_err(|e| format!("standard input: {e}"))?;
@@ -44,12 +44,12 @@
         }
         let mut fields = Fields::new(text);
         let name = fields.word("message name").map_err(located)?;
-        if rows_due > 0 {
+        if entries_due > 0 {
             if name != "entry" {
-                return Err(located(Malformed::new("membersList", "has fewer entries than it announced")));
+                return Err(located(Malformed::new("membersList", "has fewer entries than announced")));
             }
-            host.row(Row::parse(&mut fields, number).map_err(located)?);
-            rows_due -= 1;
+            host.add_entry(ListEntry::parse(&mut fields, number).map_err(located)?);
+            entries_due -= 1;
             continue;
         }
         match (name, in_batch) {
@@ -57,7 +57,7 @@
                 host.begin(fields.time("clock").map_err(located)?).map_err(located)?;
                 in_batch = true;
             }
-            ("frame", true) => return Err(located(Malformed::new("frame", "opens inside an open batch"))),
+            ("frame", true) => return Err(located(Malformed::new("frame", "begins inside an open batch"))),
             ("over_to_you", true) => {
                 fields.end().map_err(located)?;
                 reply.clear();
@@ -66,10 +66,10 @@
                 let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
                 sent.map_err(|e| format!("standard output: {e}"))?;
             }
-            ("snapshot_rows", true) => rows_due = host.sheet(&mut fields).map_err(located)?,
+            ("snapshot_rows", true) => entries_due = host.begin_list(&mut fields).map_err(located)?,
             (_, true) => host.event(name, &mut fields).map_err(located)?,
             (_, false) => {
-                let what = format!("`{}` stands outside a batch", fields::shown(name));
+                let what = format!("`{}` is outside a batch", fields::excerpt(name));
                 return Err(located(Malformed::new("message name", what)));
             }
         }
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,8 +1,6 @@
-//! The decision module. The types it receives and returns are in `src/api.rs`.
-//!
-//! A message waits as `Ready`, goes out as `InFlight`, and after a bad outcome rests in `Backoff` until a
-//! timer fires and wins its roll (the law, below). Every send passes [`Controller::may_send`] and, for the
-//! place itself, [`Controller::open`]; every refusal passes [`Controller::may_refuse`].
+//! The decision module. Its input and output types are in `src/api.rs`. A message waits as `Ready`, is sent
+//! as `InFlight`, and after a failure waits in `Backoff` until a timer fires and the retry policy allows a
+//! resend. Gates: [`Controller::may_send`], [`Controller::usable`], [`Controller::may_refuse`].
 
 mod dispatch;
 mod events;
@@ -24,79 +22,78 @@
 
 /// First retransmission timer (paper: 0.5 s); each further timer is twice as long.
 const T1: Duration = Duration::from_millis(500);
-/// Lowest retransmission probability (paper: 10%).
+/// Lowest resend probability (paper: 10%).
 const P_MIN: f64 = 0.1;
-/// Upper threshold over lower threshold (paper: 3).
+/// Ratio of the upper to the lower threshold (paper: 3).
 const Q_RATIO: f64 = 3.0;
-/// Weight of a new sample in the first-send rate (paper: 0.002); one sample a tick.
+/// Weight of a new sample in the first-send rate (paper: 0.002); one sample per tick.
 const RATE_WEIGHT: f64 = 0.002;
-/// Lower threshold at least, messages: a quiet destination keeps p at 1 (design page).
+/// Minimum of the lower threshold, in messages: keeps p at 1 for destinations with little traffic.
 const Q_MIN_FLOOR: f64 = 12.0;
-/// Share of the slots that one destination may take while others wait (design page).
+/// Share of the slots that one destination may take while others wait.
 const SLOT_SHARE: f64 = 0.5;
-/// Weight of a new latency sample in the mean, and of its distance in the deviation (as TCP's timer has it).
+/// Weight of a new latency sample in the mean, and of its distance in the deviation (as in TCP's RTO).
 const LATENCY_WEIGHT: f64 = 0.125;
-/// Deviations above the mean before a call counts as late.
+/// Deviations above the mean after which a call counts as overdue.
 const LATE_DEVIATIONS: f64 = 6.0;
-/// Failures in a row before an endpoint is judged down, and the weight of silence or a refused connection.
+/// Consecutive failures that mark an endpoint down; weight in them of a timeout or a refused connection.
 const DOWN_AFTER: u32 = 6;
 const HARD_WEIGHT: u32 = 3;
-/// Refusals in a row, and time without a success, before untold refusals count as shut and not as a limit.
+/// Consecutive refusals without a wait, and time without a success, that mean an outage, not a limit.
 const OUTAGE_REFUSALS: u32 = 4;
 const OUTAGE_QUIET: Duration = Duration::from_millis(2000);
-/// Weight of an outcome in an endpoint's share of failures: about the last six outcomes.
+/// Weight of an outcome in an endpoint's failure share: covers about the last six outcomes.
 const FAIL_WEIGHT: f64 = 0.17;
-/// Share of failures from which an endpoint counts as failing most calls, in the cold rule's sense.
+/// Failure share from which an endpoint counts as failing most calls and is held to the cold budget.
 const HIGH_FAIL_SHARE: f64 = 0.45;
-/// Share of failures under which a message with one try only is sent without fear.
+/// Failure share below which a message that allows only one attempt may be sent.
 const SAFE_FAIL_SHARE: f64 = 0.25;
-/// Share of the cold budget that is used: others may know the destination less well.
+/// Share of the cold budget in use: other senders may have less information on the destination.
 const COLD_SAFETY: f64 = 0.8;
-/// Share of an idle time after which a connection failed that is still trusted; half of T1 always is.
+/// Share of a failed connection's idle time up to which others are still trusted; at least half of T1.
 const STALE_SHARE: f64 = 0.25;
-/// How long idle connections are doubted after an overdue call; if a fresh one answers, for `CROWD_MEMORY`.
+/// How long idle connections are suspected after an overdue call; `SHORTAGE_MEMORY` once a fresh one answers.
 const STALE_SUSPICION: Duration = Duration::from_secs(10);
-/// Time within which a call breaks whose connection was gone before it.
+/// Time within which a call fails whose connection was already closed by the other side.
 const BREAKS_AT_ONCE: Duration = Duration::from_millis(20);
-/// How long a kind of destination that refused a connection counts as short of them.
+/// How long a kind of destination that refused a connection counts as short of connections.
 const SHORTAGE_MEMORY: Duration = Duration::from_secs(60);
-/// Share of its time that a connection is in use from which it is worth its place all the same.
+/// Share of time in use from which a connection is kept open despite a shortage.
 const MIN_USE: f64 = 0.1;
-/// Time constants of the recent and the usual rate of successes, seconds.
+/// Time constants of the recent and the long-term success rate, in seconds.
 const RECENT_TAU: f64 = 2.0;
 const USUAL_TAU: f64 = 10.0;
-/// After a refusal above a limit: share of the recent successes kept up, and growth a second from there.
+/// After a refusal above a limit: share of the recent success rate that is kept, and its growth per second.
 const PACE_CUT: f64 = 0.85;
 const PACE_GROWTH: f64 = 0.15;
-/// Share of its part of a reported limit that a sender uses; the share left over comes on top.
+/// Share of its part of a reported limit that a sender uses; the unused remainder is available on top.
 const PACE_REPORTED: f64 = 0.9;
-/// Share of what others leave of a reported limit that one sender may take, where its part is less.
+/// Share of the unused part of a reported limit that one sender may take, if its own part is smaller.
 const SPARE_SHARE: f64 = 0.1;
-/// Pace from which a limit no longer matters, calls a second.
+/// Pace at and above which no limit applies, in calls per second.
 const PACE_MAX: f64 = 1000.0;
-/// Pace after a refusal above a limit, as a share of the sender's part: refused calls may use it up too.
+/// Minimum pace after a refusal, as a share of the sender's part: refused calls may count against the limit.
 const PACE_MIN: f64 = 0.5;
-/// Time over which an unused pace adds up, seconds.
+/// Time over which unused pace accumulates, in seconds.
 const PACE_BURST: f64 = 0.5;
-/// Share of the room for messages from which the least promising are handed back.
+/// Share of the capacity for messages above which those of the lowest utility are refused.
 const HELD_SHARE: f64 = 0.95;
-/// Share of its aim that a message may wait for others to share its call, where calls can be shared.
+/// Share of its latency target that a message may wait for others to share its call.
 const BATCH_WAIT_SHARE: f64 = 0.1;
-/// Messages in a shared call that weigh as one call against the cold budget (they cost a little more each).
+/// Messages in a shared call that count as one call in the cold budget (each adds a little cost).
 const BATCHED_PER_CALL: usize = 4;
-/// Cost of queueing behind calls to the same endpoint, per call squared, in points as the prices.
+/// Cost of queueing behind calls to the same endpoint, per call squared, in the unit of the prices.
 const QUEUE_COST: f64 = 0.01;
-/// How often held messages are looked at again.
 const HELD_POLL: Duration = Duration::from_millis(50);
 
-/// The decisions of one sender. Instances share nothing.
+/// The decisions of one sender. Instances share no state.
 #[derive(Debug, serde::Serialize, serde::Deserialize)]
 pub struct Controller {
     settings: Settings,
     rng: Pcg32,
     now: Duration,
     messages: BTreeMap<MessageId, Message>,
-    /// Attempts whose outcome has not come: their call, and their key.
+    /// Attempts without an outcome yet: their call and their key.
     flights: BTreeMap<(MessageId, u32), (u64, Option<OrderKey>)>,
     calls: BTreeMap<u64, Call>,
     last_call: u64,
@@ -104,29 +101,25 @@
     destinations: BTreeMap<DestinationId, Destination>,
     #[serde(rename = "lanes")]
     limiters: BTreeMap<LimiterId, RateLimiter>,
-    /// Where messages that may run twice are ready, as this step found it.
+    /// Destinations with ready messages that may be repeated, as of this step.
     #[serde(rename = "ready_twice")]
     ready_repeatable: BTreeSet<DestinationId>,
     /// Until when a kind of destination counts as short of connections.
     refused_connection: BTreeMap<KindId, Duration>,
-    /// Age up to which idle connections are trusted, and until when older ones are not.
+    /// Idle time up to which connections are trusted, and until when older ones are suspected.
     trusted: Duration,
     doubt_until: Duration,
     keys: BTreeMap<OrderKey, KeyQueue>,
     tenants: Vec<(f64, Duration)>,
     wake_at: Option<Duration>,
-    /// Where the list has to be asked for: failures in a row, and when to ask (again) if not subscribed.
+    /// For lists that must be requested: consecutive failures, and when to request the list (again).
     asks_failed: u32,
     ask_at: Option<Duration>,
-    /// Whose order of preference is asked first, if there is one.
     proposer: ProposerCell,
 }
 
 impl Controller {
-    /// A controller that knows nothing yet but its settings. `now` is the caller's clock.
-    ///
-    /// # Errors
-    /// Settings that cannot work, such as no classes, no slots, or figures that are negative or not finite.
+    /// Creates a controller; `now` is the caller's clock. Fails on settings that [`Settings::check`] rejects.
     pub fn new(settings: Settings, seed: u64, now: Duration) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Controller {
@@ -153,12 +146,12 @@
         })
     }
 
-    /// From now on choices go by the proposer's order, for the destinations on which it has an opinion.
+    /// Endpoints are chosen by the proposer's order from now on, for the destinations that it covers.
     pub fn set_proposer(&mut self, proposer: Box<dyn Proposer>) {
         *self.proposer.get_mut() = Some(proposer);
     }
 
-    /// Takes a whole batch of events at the clock `now` and appends what is to be done to `actions`.
+    /// Handles a batch of events at the clock `now` and appends the resulting actions to `actions`.
     pub fn step(&mut self, now: Duration, events: &[Event], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         for event in events {
@@ -178,7 +171,7 @@
         self.schedule_wake(actions);
     }
 
-    /// Asks to be woken when the next timer fires, the next message runs out, or held ones need a look.
+    /// Requests a wake-up for the next timer, message deadline, overdue call or check of held messages.
     fn schedule_wake(&mut self, actions: &mut Vec<Action>) {
         self.wake_at = self.wake_at.filter(|at| *at > self.now);
         let margin = self.settings.tick * 2;
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -1,12 +1,10 @@
-//! Which message goes where, in which call.
-
 use super::*;
 
 impl Controller {
-    /// Sends what may go, in the order of what is still to be won.
+    /// Sends the messages that may be sent now, in descending order of utility.
     pub(super) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         let mut ready: Vec<(bool, f64, Duration, MessageId)> = Vec::new();
-        // Where calls can be shared, a call waits a little for company; calls are what limits count.
+        // Where calls can be shared, a call waits briefly for more messages: limits count calls.
         let mut waiting: BTreeMap<DestinationId, (usize, bool)> = BTreeMap::new();
         self.ready_repeatable.clear();
         for (id, m) in self.messages.iter().filter(|(_, m)| m.state == State::Ready) {
@@ -25,7 +23,6 @@
             }
         }
         ready.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then((a.2, a.3).cmp(&(b.2, b.3))));
-        // Calls opened in this step that still take messages.
         let mut open_calls: BTreeMap<EndpointId, u64> = BTreeMap::new();
         for (_, _, _, id) in ready {
             let Some(m) = self.messages.get(&id) else { continue };
@@ -58,14 +55,14 @@
         self.endpoints.get(&id).and_then(|e| self.settings.kinds.get(e.info.kind.0)).map_or(1, |k| k.per_call)
     }
 
-    /// A message may join a call of this step on all terms of its own; a trial is a single message.
+    /// A message joins a call of this step only if it may be sent itself; a trial is a single message.
     pub(super) fn may_join(&self, id: MessageId, m: &Message, e: &Endpoint, call: u64) -> bool {
         let sent = self.calls.get(&call).map_or(0, |c| c.messages);
         let light = e.health == Health::Well || !sent.is_multiple_of(BATCHED_PER_CALL);
         e.health != Health::Down && light && sent < self.per_call(e.info.id) && self.may_send(id, m, e)
     }
 
-    /// At most half of the slots for a destination while others wait, it is ill, or a call there is overdue.
+    /// At most half of the slots while others wait, an endpoint here is unhealthy or a call here is overdue.
     pub(super) fn slot_free(&self, m: &Message, others_wait: bool) -> bool {
         let half = ((self.settings.max_calls as f64 * SLOT_SHARE) as usize).max(1);
         let its = || self.calls.values().filter(|c| c.destination == m.destination);
@@ -74,7 +71,7 @@
         its().count() < if others_wait || overdue || unhealthy { half } else { self.settings.max_calls }
     }
 
-    /// The cheapest endpoint that may take the message: price of the way, and calls already there.
+    /// The cheapest allowed endpoint: cost of a connection, recent failures, and calls already open there.
     pub(super) fn choose_endpoint(&self, id: MessageId, m: &Message) -> Option<EndpointId> {
         let s = &self.settings;
         let cost = |e: &Endpoint| {
@@ -99,7 +96,6 @@
         fitting.min_by(|a, b| cost(a).total_cmp(&cost(b))).map(|e| e.info.id)
     }
 
-    /// Books a new call: its slot, its token, its place in the cold budget or as a trial.
     pub(super) fn open_call(
         &mut self, endpoint: EndpointId, destination: DestinationId, id: MessageId, actions: &mut Vec<Action>,
     ) -> u64 {
@@ -126,7 +122,7 @@
         self.last_call
     }
 
-    /// Counts a call or probe against the cold budget, and puts off the next trial.
+    /// Counts a call or probe in the cold budget and postpones the next trial.
     pub(super) fn record_send(&mut self, endpoint: EndpointId) {
         let (now, warm) = (self.now, self.settings.cold_time + self.settings.overload_span);
         let jitter = self.random_jitter();
@@ -137,14 +133,13 @@
         }
     }
 
-    /// Time after which a call to a destination is overdue: well above what was seen there.
+    /// Time after which a call to a destination is overdue: well above the observed latency.
     pub(super) fn late_after(&self, destination: DestinationId, class: usize) -> Duration {
         let target_latency = self.settings.classes[class].target_latency;
         let known = self.destinations.contains_key(&destination);
         if known { self.latency_bound(destination).max(target_latency / 2) } else { target_latency }
     }
 
-    /// Time within which nearly all calls to a destination were answered.
     pub(super) fn latency_bound(&self, destination: DestinationId) -> Duration {
         let seen = |d: &Destination| Duration::from_secs_f64(d.latency + LATE_DEVIATIONS * d.deviation);
         self.destinations.get(&destination).map_or(Duration::ZERO, seen)
@@ -153,11 +148,11 @@
     pub(super) fn send(&mut self, id: MessageId, endpoint: EndpointId, call: u64, actions: &mut Vec<Action>) {
         let Some(m) = self.messages.get(&id) else { return };
         let class = &self.settings.classes[m.class];
-        // A time-out uses up the only try of a message that must not run twice: it waits to the end.
+        // A timeout would use up the only attempt of a message that must not be repeated: no early timeout.
         let give_up_at = if class.effect == Effect::Once {
             m.deadline
         } else {
-            // Early enough for another try within the aim.
+            // Early enough for another attempt within the latency target.
             let timeout = self.late_after(m.destination, m.class);
             (self.now + timeout * (1 << m.attempts.min(6))).min(m.deadline)
         };
@@ -176,9 +171,8 @@
         }
     }
 
-    /// Where messages wait for an endpoint judged down, a probe asks for them if probes are allowed.
-    /// Guards endpoints that fail some calls: shunned by what has one try, and with nothing else to carry,
-    /// none would ever be known to be well again.
+    /// Probes endpoints that are down while messages wait, and those that failed some calls: single-attempt
+    /// messages avoid those, so without other traffic a recovery would never be detected.
     pub(super) fn probe_down(&mut self, waiting: &[DestinationId], actions: &mut Vec<Action>) {
         let down = |e: &&Endpoint| e.health == Health::Down && e.refused_run == 0 && !e.trial;
         let alone = |e: &&Endpoint| self.now > e.last_sent + OUTAGE_QUIET;
--- a/src/control/events.rs
+++ b/src/control/events.rs
@@ -1,5 +1,3 @@
-//! What comes in: messages, outcomes, lists.
-
 use super::*;
 
 impl Controller {
@@ -9,7 +7,7 @@
             Event::Outcome(end) => self.handle_outcome(end, actions),
             Event::Withdrawn(id) => self.remove_message(*id),
             Event::Wake(_) => {}
-            // What answers a probe may still answer no call: the probe lets one message try.
+            // An endpoint that answers a probe may still fail calls: the probe admits one message as a trial.
             Event::Probed { endpoint, outcome, limit } => match self.endpoints.get_mut(endpoint) {
                 Some(e) if e.health == Health::Down && *outcome == Outcome::Success => e.trial = true,
                 found => {
@@ -25,7 +23,7 @@
                 self.update_list(list);
             }
             Event::ListUnavailable => {
-                // Pauses double, with a random part, and end within the time by which a sender is told.
+                // Pauses double, with jitter, and stay below the age at which list entries count as received.
                 let pause = (T1 * (1 << self.asks_failed.min(10))).min(self.settings.max_list_age / 2);
                 let pause = pause.mul_f64(self.random_jitter()).max(self.settings.tick);
                 self.ask_at = self.settings.ask_for_list.then_some(self.now + pause);
@@ -34,7 +32,6 @@
         }
     }
 
-    /// The random part of a pause: between half and three halves.
     pub(super) fn random_jitter(&mut self) -> f64 {
         0.5 + f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
@@ -44,7 +41,7 @@
         for info in list {
             if let Some(e) = self.endpoints.get_mut(&info.id) {
                 e.listed = if e.info.state == ListState::Gone { e.listed } else { self.now };
-                // Put back after a drain it was restarted, most likely, and is cold.
+                // Listed again after a drain: most likely it was restarted and is cold.
                 let back = e.info.state == ListState::Draining && info.state == ListState::Live;
                 e.health = if back { Health::Warming(self.now) } else { e.health };
                 e.info = info.clone();
@@ -53,8 +50,8 @@
             let apart = self.settings.kinds.get(info.kind.0).is_some_and(|k| k.independent_routes);
             let limiter_id = (info.destination, apart.then_some(info.id));
             let free = RateLimiter { pace: PACE_MAX, ..RateLimiter::default() };
-            // Added in an outage of its lane it is as cold at its end as the others, with a pause from now
-            // on; a sender among many has seen one failure or refusal of it, maybe at one now gone.
+            // An endpoint added during an outage of its limiter is as cold as the rest, with a pause from now
+            // on: one of many senders has seen a single failure, maybe of an endpoint now gone.
             let ids = self.destinations.get(&info.destination).map_or(&[][..], |d| &d.endpoints);
             let unhealthy = |o: &Endpoint| o.health != Health::Well || o.hard_run + o.refused_run > 0;
             let unhealthy = ids
@@ -69,15 +66,15 @@
             let fresh = || Destination { first_sends, ..Destination::default() };
             self.destinations.entry(info.destination).or_insert_with(fresh).endpoints.push(info.id);
             let (info, last_sent, last_ok, listed) = (info.clone(), self.now, self.now, self.now);
-            let known =
+            let new =
                 Endpoint { info, health, limiter_id, last_sent, last_ok, listed, ..Endpoint::default() };
-            let known = Endpoint { jitter, tie_breaker: QUEUE_COST * (jitter - 0.5) / 2.0, ..known };
-            self.endpoints.insert(known.info.id, known);
+            let new = Endpoint { jitter, tie_breaker: QUEUE_COST * (jitter - 0.5) / 2.0, ..new };
+            self.endpoints.insert(new.info.id, new);
         }
         self.remove_gone_endpoints();
     }
 
-    /// Guards memory where endpoints come and go: one long gone says nothing any more of those that are left.
+    /// Bounds memory where endpoints come and go: long-gone ones carry no information on the remaining ones.
     pub(super) fn remove_gone_endpoints(&mut self) {
         let (now, memory) = (self.now, self.settings.cold_time + self.settings.overload_span);
         let end = |e: &Endpoint| self.limiters.get(&e.limiter_id).map_or(Duration::ZERO, |l| l.wait_until);
@@ -102,7 +99,7 @@
             (self.now + m.remaining, class.utility, backoff(0, class.target_latency));
         let target_at = (deadline + class.target_latency).saturating_sub(class.deadline);
         if let Some((tokens, at)) = m.tenant.and_then(|t| self.tenants.get_mut(t.0)) {
-            // Within its share as far as a bucket of one second of this sender's part of the quota goes.
+            // The tenant's share is a token bucket of one second of this sender's part of the quota.
             let quota = &self.settings.tenants[m.tenant.map_or(0, |t| t.0)];
             let rate = quota.quota_per_s / f64::from(self.settings.senders);
             *tokens = (*tokens + (self.now - *at).as_secs_f64() * rate).min(rate.max(1.0));
@@ -117,10 +114,10 @@
         }
         let fresh =
             Message { class: m.class.0, destination: m.destination, key, utility, ..Message::default() };
-        // Sent before a restart: its attempts count on, and what may have run binds it from that first send.
+        // Sent before a restart: attempts continue, and a possible execution counts from its first send.
         let (attempts, risk) =
             (m.past.attempts, m.past.risk.map(|(ago, at)| (self.now.saturating_sub(ago), at)));
-        // What an earlier process held is no first send: by timer and law, or it fills all slots at once.
+        // Held by an earlier process: by backoff and retry policy, or it would fill all slots at once.
         let first_backoff = |c: &mut Self| State::Backoff(c.now + timer.mul_f64(c.random_jitter()));
         let state = if m.past.held { first_backoff(self) } else { State::Ready };
         let fresh = Message { target_at, deadline, attempts, risk, state, ready_since: self.now, ..fresh };
@@ -136,7 +133,7 @@
         let Some(call) = self.calls.get_mut(&number) else { return };
         let Call { endpoint, destination, sent, idle_for, .. } = *call;
         call.messages -= 1;
-        // One call, one fate: it counts once. But a wait binds whichever message brings it.
+        // A call counts once, by its first outcome, but a wait applies whichever message reports it.
         let first = !std::mem::replace(&mut call.judged, true);
         let (over, ok) = (call.messages == 0, first && outcome == Outcome::Success);
         if over {
@@ -158,8 +155,8 @@
                 e.idle.push(self.now);
             }
         }
-        // A doubt is right if a call is answered while an earlier one on a doubted connection is out; wrong
-        // if that is answered too. Unanswered, a doubted connection tells nothing of the endpoint.
+        // Suspicion is right if a call is answered while an earlier one on a suspected connection is open,
+        // wrong if that is answered too. Unanswered, it is no evidence on the endpoint.
         let doubted = |c: &Call| c.endpoint == endpoint && c.idle_for > self.trusted && c.sent < sent;
         if ok && idle_for > self.trusted {
             (self.trusted, self.doubt_until) = (self.settings.keepalive, self.now);
@@ -167,16 +164,16 @@
             self.doubt_until = self.now + SHORTAGE_MEMORY;
         }
         let refused = matches!(outcome, Outcome::Overloaded { .. });
-        // Refused connections are those of a full table only if it answers soon after, and was not down.
+        // Refused connections mean a full table only if the endpoint answers soon after and was not down.
         let full = |e: &Endpoint| e.hard_run >= HARD_WEIGHT && e.health == Health::Well;
         let full = ok && self.endpoints.get(&endpoint).is_some_and(full);
-        // What breaks at once on a connection that was idle tells of that connection only.
+        // An immediate break of an idle connection is evidence on that connection only.
         let stale = outcome == Outcome::Broken && !idle_for.is_zero() && elapsed < BREAKS_AT_ONCE;
         if refused || first && !stale && (!outcome.may_still_run() || idle_for <= self.trusted) {
             self.record_outcome(endpoint, outcome, sent, limit, actions);
         }
-        // A refusal on a fresh connection that tells no limit, where answers do, is one of a connection.
-        // A kind not known yet is spared at first: a full table stays full for the idle time.
+        // If answers report limits, a refusal on a fresh connection without one is a refused connection.
+        // Kinds without a record count as short at first: a full table stays full for the idle timeout.
         let no_limit = outcome == Outcome::Overloaded { wait: None } && limit.is_none() && idle_for.is_zero();
         if let Some(e) = self.endpoints.get(&endpoint) {
             let until = self.refused_connection.entry(e.info.kind);
@@ -194,7 +191,7 @@
             State::Backoff(self.now + backoff(m.firings, self.settings.classes[m.class].target_latency));
     }
 
-    /// Forgets a message that is over. Attempts still out keep their slot and hold their key until they end.
+    /// Removes a finished message. Attempts in flight keep their slot and their key until they end.
     pub(super) fn remove_message(&mut self, id: MessageId) {
         let key = self.messages.remove(&id).and_then(|m| m.key);
         if let Some(k) = key.and_then(|key| self.keys.get_mut(&key)) {
--- a/src/control/guards.rs
+++ b/src/control/guards.rs
@@ -1,28 +1,28 @@
-//! Whether a message may go, and where: the gates before every send and refusal.
+//! The checks before every send and refusal.
 
 use super::*;
 
 impl Controller {
     pub(super) fn live(&self, destination: DestinationId) -> impl Iterator<Item = &Endpoint> {
         let ids = self.destinations.get(&destination).map_or(&[][..], |d| &d.endpoints);
-        // One that a list has moved is its new destination's, which knows nothing of it yet.
+        // An endpoint that was moved belongs to its new destination, which has no record of it yet.
         let its = move |e: &&Endpoint| e.info.state == ListState::Live && e.info.destination == destination;
         ids.iter().filter_map(|id| self.endpoints.get(id)).filter(its)
     }
 
-    /// Whether an endpoint takes anything at all now: no wait, and not down but for a trial.
+    /// Whether an endpoint accepts calls now: no wait in effect, and not down unless a trial is due.
     pub(super) fn usable(&self, e: &Endpoint) -> bool {
         let waiting = self.limiters.get(&e.limiter_id).is_none_or(|l| l.wait_until > self.now);
         let closed = match e.health {
             Health::Down => !e.trial && self.now < e.last_sent + self.cold_interval(e).max(T1),
-            // Not in step: a shut that told its end is over for all senders at the same moment.
+            // With jitter: a wait with a stated end is over for all senders at the same moment.
             Health::Warming(since) => self.now < e.last_sent.max(since) + self.cold_interval(e),
             Health::Well => false,
         };
         !waiting && !closed
     }
 
-    /// Whether another attempt can ever be sent. Whoever writes it sees to its window at that moment.
+    /// Whether another attempt is still possible. The key's window is checked again when the call is written.
     pub(super) fn may_retry(&self, m: &Message) -> bool {
         let allowed = match (m.risk, self.settings.classes[m.class].effect) {
             (None, _) | (_, Effect::Repeatable) => true,
@@ -34,15 +34,15 @@
         allowed && m.attempts < self.settings.max_attempts
     }
 
-    /// Whether this message may go to this endpoint: the one gate before every send.
+    /// Whether this message may be sent to this endpoint; checked before every send.
     pub(super) fn may_send(&self, id: MessageId, m: &Message, e: &Endpoint) -> bool {
         let s = &self.settings;
         let class = &s.classes[m.class];
-        // The one that a probe lets try: one try only is for when no other waits.
+        // A trial after a probe: single-attempt messages are used only if no repeatable one is ready.
         let may_try = class.effect != Effect::Once || !self.ready_repeatable.contains(&m.destination);
         let listed = e.info.state == ListState::Live && e.info.destination == m.destination;
-        // Where probes may ask, no message is spent on an endpoint that does not answer; but where trials are
-        // rarer than the span, a message that may go again is itself the trial.
+        // With probes no message is spent on an endpoint that does not answer; but where trials are rarer
+        // than the overload span, a repeatable message is itself the trial.
         let rare = class.effect != Effect::Once && self.cold_interval(e) > s.overload_span;
         let answers =
             !(s.probes && e.refused_run == 0 && e.health == Health::Down) || rare || e.trial && may_try;
@@ -54,8 +54,8 @@
             (Some((_, at)), Effect::Keyed { group: RepeatGroup::Endpoint, .. }) => e.info.id == at,
             _ => true,
         };
-        // One try only: not where calls fail, unless time is nearly up or nothing else can show that they no
-        // longer do: held to its last moment, it would be given up without a word.
+        // Single-attempt messages avoid failing endpoints, unless time is nearly up or nothing else can
+        // detect a recovery: held until its deadline, the message would fail without an attempt.
         let asked = s.probes || self.now <= e.last_sent + OUTAGE_QUIET || !may_try;
         let cautious = class.effect == Effect::Once && asked && self.now + class.target_latency < m.deadline;
         let avoided = cautious && !e.trial && (e.fail_share > SAFE_FAIL_SHARE || e.health == Health::Down);
@@ -63,7 +63,7 @@
         due && listed && answers && known && !avoided && self.is_next_of_key(id, m)
     }
 
-    /// Order: the oldest of its key, nothing of the key out, and the rest of the key over.
+    /// Key order: the oldest of its key, no attempt of the key in flight, and the key's cooldown over.
     pub(super) fn is_next_of_key(&self, id: MessageId, m: &Message) -> bool {
         let Some(k) = m.key.and_then(|key| self.keys.get(&key)) else { return true };
         k.queue.front() == Some(&id)
@@ -71,7 +71,7 @@
             && k.cooldown.is_none_or(|(until, by)| by == id || self.now >= until)
     }
 
-    /// Whether the client may be told that handing the message in again is harmless.
+    /// Whether the client may be told that submitting the message again is harmless.
     pub(super) fn may_refuse(&self, m: &Message) -> bool {
         let harmless = match self.settings.classes[m.class].effect {
             Effect::Repeatable | Effect::Keyed { group: RepeatGroup::All, .. } => true,
--- a/src/control/health.rs
+++ b/src/control/health.rs
@@ -1,9 +1,8 @@
-//! What is learnt of endpoints, limits and connections.
+//! Health records of endpoints, rate limits and connections.
 
 use super::*;
 
 impl Controller {
-    /// Learns from the end of a call or probe.
     pub(super) fn record_outcome(
         &mut self, id: EndpointId, outcome: Outcome, sent: Duration, limit: Option<LimitReport>,
         actions: &mut Vec<Action>,
@@ -17,7 +16,7 @@
         let (cold, before) = (Health::Warming(now), e.health);
         limiter.own = part * PACE_REPORTED;
         if !matches!(outcome, Outcome::Void | Outcome::Overloaded { .. }) {
-            // What was seen long ago says little: where most calls are other senders', one failure is news.
+            // Old outcomes say little: if most calls are other senders', a single failure is significant.
             let others = (1.0 - 2.0 / f64::from(self.settings.senders)).max(0.0);
             let age = now.saturating_sub(e.last_answer).as_secs_f64();
             let weight = FAIL_WEIGHT.max(others * (1.0 - (-age / USUAL_TAU).exp()));
@@ -26,18 +25,18 @@
         if !matches!(outcome, Outcome::Void | Outcome::Withdrawn | Outcome::TimedOut) {
             e.last_answer = now;
         }
-        // What all endpoints of the lane, or those down, are from now on: outages mostly take and leave all.
+        // New health of this endpoint, and of others on its rate limiter: outages mostly affect all of them.
         let (mut own_health, mut shared_health) = (None, None);
         match outcome {
             Outcome::Void | Outcome::Withdrawn => return,
             Outcome::Success => {
-                // It came back some time since it last failed: over many senders, in the middle on average.
+                // It recovered some time after its last failure: on average over many senders, halfway.
                 let back = Health::Warming(e.last_failed + (now - e.last_failed) / 2);
                 let (failed, suspected) = (e.hard_run > 0, e.hard_run == 0 && e.refused_run == 0);
                 (e.last_ok, e.hard_run, e.refused_run) = (now, 0, 0);
                 limiter.recent.add(now, RECENT_TAU);
                 if let Some(report) = limit.filter(|r| r.rate > 0.0) {
-                    // The limit is told: pace to this sender's part, and up while others leave room.
+                    // The limit is reported: pace at this sender's part, more while others leave capacity.
                     let room = report.left.clamp(0.0, 1.0);
                     let most = limiter.own + part.max(report.rate * SPARE_SHARE) * room;
                     let paced = if limiter.pace < PACE_MAX { limiter.pace } else { limiter.own };
@@ -46,7 +45,7 @@
                 match e.health {
                     Health::Well => e.usual.add(now, USUAL_TAU),
                     Health::Down if suspected => e.health = Health::Well,
-                    // What failed before it was back says nothing of what comes now, within the cold budget.
+                    // Failures before the recovery do not predict calls made within the cold budget.
                     Health::Down if sent >= e.down_since => {
                         (e.health, e.fail_share) = (back, e.fail_share.min(SAFE_FAIL_SHARE));
                         shared_health = Some((back, true));
@@ -63,7 +62,7 @@
                 let long = wait.is_some_and(|w| w >= self.settings.overload_span);
                 let shuts = e.refused_run >= OUTAGE_REFUSALS || e.health != Health::Well;
                 if long || (wait.is_some() && quiet && shuts) {
-                    // Shut until the wait ends, and cold from then on, by whichever endpoint it is tried.
+                    // Unavailable until the wait ends and cold from then on, whichever endpoint is tried.
                     own_health = Some(Health::Warming(until));
                     shared_health = long.then_some((Health::Warming(until), false));
                 } else if quiet && e.refused_run >= OUTAGE_REFUSALS && e.health != Health::Down {
@@ -75,7 +74,7 @@
                     limiter.tokens = limiter.tokens.min(1.0 - chance);
                 }
             }
-            // Too slow for this one call, while others were answered: no sign of an outage.
+            // This call alone was too slow, as others were answered: not an outage.
             Outcome::TimedOut if e.last_ok > sent => return,
             Outcome::Failure | Outcome::TimedOut | Outcome::Unreachable | Outcome::Broken => {
                 let soft = matches!(outcome, Outcome::Failure | Outcome::Broken);
@@ -83,7 +82,7 @@
                 match e.health {
                     Health::Down => {}
                     _ if e.hard_run >= DOWN_AFTER => e.health = Health::Down,
-                    // Some calls get through: go on within the budget of a cold destination.
+                    // Some calls succeed: continue within the budget of a cold destination.
                     Health::Well if e.fail_share >= HIGH_FAIL_SHARE => e.health = cold,
                     _ => {}
                 }
@@ -105,8 +104,8 @@
         }
     }
 
-    /// The pause between single calls to an endpoint that is down or cold: by this sender's even part of what
-    /// the rule on returning destinations allows all of them, and a random part: they are not in step.
+    /// Interval between calls to a down or cold endpoint: this sender's even share of what all senders
+    /// together may send to a returning destination, with jitter so that they are not synchronised.
     pub(super) fn cold_interval(&self, e: &Endpoint) -> Duration {
         let s = &self.settings;
         let since = if let (Health::Warming(since), 0) = (e.health, e.hard_run) { since } else { self.now };
@@ -122,7 +121,7 @@
         Duration::from_secs_f64(e.jitter / rate)
     }
 
-    /// Closes connections that are idle most of their time, where those are short, once no message took them.
+    /// Closes mostly idle connections of kinds that are short of them, unless a message just used them.
     pub(super) fn release_idle(&mut self, actions: &mut Vec<Action>) {
         for (id, e) in self.endpoints.iter_mut().filter(|(_, e)| e.calls_out == 0 && !e.idle.is_empty()) {
             let latency = self.destinations.get(&e.info.destination).map_or(0.0, |d| d.latency);
@@ -134,9 +133,9 @@
         }
     }
 
-    /// An overdue call to an endpoint that has said nothing since: hold all but trials there, long before
-    /// the time-out. Any answer lifts it without a cold ramp. On a connection that was idle it tells first of
-    /// that: from then on younger or fresh ones are used, and an outage shows on the next call.
+    /// An overdue call marks an endpoint with no answer since its send as down, well before the timeout; any
+    /// answer lifts this without a cold ramp. On an idle connection it is evidence on old connections first:
+    /// younger or fresh ones are used from then on, and an outage shows on the next call.
     pub(super) fn detect_overdue_calls(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         self.trusted = if now < self.doubt_until { self.trusted } else { self.settings.keepalive };
@@ -151,20 +150,20 @@
                 self.doubt_until = self.doubt_until.max(now + STALE_SUSPICION);
             }
         }
-        // Out of slots, those longest silent make way; those on connections rightly doubted do so at once.
+        // Without free slots the longest silent call is cancelled; on a connection confirmed stale, at once.
         let full = self.calls.len() >= self.settings.max_calls;
         let able = |e: &Endpoint| e.health == Health::Well && self.usable(e);
         let wanted = |m: &Message| m.state == State::Ready && self.live(m.destination).any(able);
         let needed = full && self.messages.values().any(wanted);
         let sure = self.doubt_until > now + STALE_SUSPICION;
         let lost = |c: &Call| sure && c.idle_for > self.trusted && now > c.sent + c.late_after;
-        // Where answers get lost, slots fill with calls that never end: what is far over the usual gives way.
+        // If answers get lost, slots fill with calls that never end: cancel those far above usual latency.
         let timeout = |c: &Call| self.latency_bound(c.destination).max(T1 / 2);
         let silent = |c: &Call| !c.cancelled && (lost(c) || needed && now > c.sent + timeout(c));
         let found = self.calls.iter().find(|(_, c)| self.settings.cancelling && silent(c)).map(|(n, _)| *n);
         let Some((number, call)) = found.and_then(|n| Some((n, self.calls.get_mut(&n)?))) else { return };
         call.cancelled = true;
-        // Called off so early, it must not hide an endpoint that answers nobody.
+        // Cancelled this early, the call must still reveal an endpoint that answers no one.
         let (sent, young) = (call.sent, call.idle_for <= T1 / 2);
         let unanswered = |e: &&mut Endpoint| young && e.last_answer <= sent && e.health == Health::Well;
         if let Some(e) = self.endpoints.get_mut(&call.endpoint).filter(unanswered) {
@@ -176,7 +175,7 @@
     }
 }
 
-/// A sender's part of a lane's rate (unknown: of a call in T1), shared by no more than it gets in a life.
+/// A sender's part of a limiter's rate (if unknown, one call per T1), at least one call per longest deadline.
 pub(super) fn sender_share(e: &Endpoint, limiter: &RateLimiter, s: &Settings) -> f64 {
     let rate = if s.rate_source == RateSource::Nominal { e.info.rate } else { limiter.reported_limit };
     let rate = if rate > 0.0 { rate } else { 1.0 / T1.as_secs_f64() };
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -1,8 +1,6 @@
-//! What is kept of messages, calls, endpoints and destinations.
-
 use super::*;
 
-/// An exponentially decaying rate of events, a second.
+/// An exponentially decaying rate of events per second.
 #[derive(Debug, Clone, Copy, Default, serde::Serialize, serde::Deserialize)]
 pub(super) struct Rate {
     pub(super) value: f64,
@@ -44,7 +42,7 @@
     pub(super) risk: Option<(Duration, EndpointId)>,
 }
 
-/// Sends of one step that travel together: one slot until all outcomes are in.
+/// Sends of one step that share a call: one slot until all outcomes are in.
 #[derive(Debug, Default, serde::Serialize, serde::Deserialize)]
 pub(super) struct Call {
     pub(super) destination: DestinationId,
@@ -73,15 +71,15 @@
     pub(super) last_answer: Duration,
     pub(super) last_failed: Duration,
     pub(super) usual: Rate,
-    /// Which of several that cost the same this sender prefers: all would choose the first one listed.
+    /// Order among endpoints of equal cost: without it all senders would choose the first one listed.
     #[serde(rename = "taste")]
     pub(super) tie_breaker: f64,
-    /// The last call or probe, and the random part of the pause after it.
+    /// The last call or probe, and the jitter of the pause after it.
     pub(super) last_sent: Duration,
     #[serde(rename = "spread")]
     pub(super) jitter: f64,
     pub(super) calls_out: usize,
-    /// A probe was answered while it was down, and no message has tried since.
+    /// A probe was answered while it was down, and no message has been tried since.
     pub(super) trial: bool,
     /// When it was last listed, once it is gone.
     pub(super) listed: Duration,
@@ -89,7 +87,7 @@
     pub(super) idle: Vec<Duration>,
 }
 
-/// What limits and waits bind: a destination, or one endpoint where routes are apart.
+/// Scope of limits and waits: a destination, or one endpoint where routes are independent.
 pub(super) type LimiterId = (DestinationId, Option<EndpointId>);
 
 #[derive(Debug, Default, serde::Serialize, serde::Deserialize)]
@@ -99,18 +97,17 @@
     pub(super) tokens: f64,
     pub(super) tokens_at: Duration,
     pub(super) recent: Rate,
-    /// The limit as its answers told it, calls a second, and what of it is this sender's.
+    /// The limit as reported in answers, in calls per second, and this sender's part of it.
     #[serde(rename = "told")]
     pub(super) reported_limit: f64,
     pub(super) own: f64,
 }
 
 impl RateLimiter {
-    /// Brings tokens and pace up to `now`. Called only where a lane is looked at: a step must not cost more
-    /// the more destinations there are.
+    /// Updates tokens and pace; called on use, so the cost of a step does not grow with all destinations.
     pub(super) fn refill(&mut self, now: Duration) {
         let passed = (now - std::mem::replace(&mut self.tokens_at, now)).as_secs_f64();
-        // Guards limits that many senders share: each would go on taking what one old answer told was left.
+        // Limits shared by many senders: each would go on using the capacity that one old answer reported.
         self.pace = if self.reported_limit > 0.0 {
             self.own + (self.pace - self.own) * (-passed / T1.as_secs_f64()).exp()
         } else {
@@ -128,7 +125,7 @@
     pub(super) deviation: f64,
 }
 
-/// Messages of one key in the order taken, and what keeps the next one waiting.
+/// Messages of one key in order of arrival, and what delays the next one.
 #[derive(Debug, Default, serde::Serialize, serde::Deserialize)]
 pub(super) struct KeyQueue {
     pub(super) queue: VecDeque<MessageId>,
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -1,5 +1,5 @@
-//! What the module keeps beside its messages must equal a recount, whatever happens; and what a decision costs at
-//! ten times the size.
+//! The module's derived state must equal a recount from its messages after every step; and the cost of a
+//! decision at ten times the size.
 
 use super::*;
 use crate::common::{entry, ms};
@@ -37,8 +37,8 @@
 }
 
 impl Controller {
-    /// Whether what is kept beside the messages is what counting anew gives.
-    fn recount(&self) {
+    /// Asserts that the derived state equals a recount from the messages and calls.
+    fn assert_recount(&self) {
         for (key, k) in &self.keys {
             let held: Vec<_> =
                 self.messages.iter().filter(|(_, m)| m.key == Some(*key)).map(|(id, _)| *id).collect();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn counts_equal_a_recount_whatever_happens() {
+fn derived_state_equals_a_recount_after_random_events() {
     let (mut steps, mut most) = (0, 0);
     for seed in 0..150 {
         let mut rng = Pcg32::seed_from_u64(seed);
@@ -100,7 +100,7 @@
             }
             actions.clear();
             c.step(now, &events, &mut actions);
-            c.recount();
+            c.assert_recount();
             (steps, most) = (steps + 1, most.max(c.messages.len()));
             for action in &actions {
                 if let Action::Send { id, endpoint, .. } = action {
@@ -114,8 +114,8 @@
     assert!(steps == 45_000 && most > 7, "{steps} steps, {most} held at most");
 }
 
-/// A decision's cost in time, and a message's in memory, at 1x and 10x of destinations and pending messages:
-/// `cargo test --release scale -- --ignored --nocapture`.
+/// Time per decision and memory per message at 1x and 10x of destinations and pending messages: `cargo test
+/// --release scale -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement: it prints a table"]
 fn scale() {
@@ -123,7 +123,7 @@
         "| destinations | pending | one firing, us | one choice, us | idle step, us | one outcome, us | bytes a message |"
     );
     println!("|---|---|---|---|---|---|---|");
-    // Memory that is given back is used again: a row's bytes are true where it is the first of its process.
+    // Freed memory is reused: the byte count of a row is accurate only if it is the first row of its process.
     let row = std::env::var("ROW").ok().and_then(|r| r.parse::<usize>().ok()).unwrap_or(0);
     let rows = [(20, 200), (20, 2000), (200, 200), (200, 2000), (200, 20_000)];
     for (destinations, pending) in rows.into_iter().skip(row) {
@@ -135,7 +135,7 @@
     }
 }
 
-/// A controller that has taken so many messages which were sent before.
+/// A controller holding `pending` messages that were sent before.
 fn loaded(destinations: u64, pending: u64, seed: u64) -> Controller {
     let mut c = Controller::new(settings(pending as usize * 2, 64), seed, ms(1000)).unwrap();
     let mut events = vec![listed(destinations)];
@@ -144,7 +144,7 @@
     c
 }
 
-/// Bytes that a pending message takes, with its part of all else: of so many controllers that it can be seen.
+/// Bytes per pending message including its share of all other state, over enough controllers to be measurable.
 fn bytes(destinations: u64, pending: u64) -> f64 {
     let resident = || {
         let statm = std::fs::read_to_string("/proc/self/statm").unwrap();
@@ -157,15 +157,15 @@
     taken as f64 / (held.len() as u64 * pending) as f64
 }
 
-/// Microseconds for: one timer that fires, with its roll, out of all due together; a step that finds nothing
-/// due; an outcome; and the choice for one message, out of all that won.
+/// Microseconds for: one timer firing with its random sample, out of all due together; a step with nothing due;
+/// an outcome; and the choice of an endpoint for one message, out of all allowed ones.
 fn costs(destinations: u64, pending: u64) -> (f64, f64, f64, f64) {
     let us = |t: std::time::Instant, n: u64| t.elapsed().as_secs_f64() * 1e6 / n as f64;
     let mut best = (f64::MAX, f64::MAX, f64::MAX, f64::MAX);
     for seed in 0..7 {
         let (mut c, mut actions) = (loaded(destinations, pending, seed), Vec::new());
         let sent: Vec<_> = c.flights.keys().copied().collect();
-        // All of them rest, and their timers fall due together.
+        // All of them are in backoff, and their timers are due together.
         for m in c.messages.values_mut().filter(|m| m.state == State::Ready) {
             m.state = State::Backoff(ms(1500));
         }
@@ -196,7 +196,7 @@
     best
 }
 
-/// Where a message stands when it is called off or its time is up.
+/// State of a message when it is cancelled or its deadline passes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Phase {
     Queued,
@@ -204,9 +204,10 @@
     InFlight,
 }
 
-/// What is left of a message: whether it is counted as pending, holds a slot, holds its key; and whether it is answered.
+/// Whether a message is counted as pending, the slots in use, whether its key is held, and the number of
+/// answers to it.
 fn left(c: &Controller, actions: &[Action], id: MessageId) -> (usize, usize, bool, usize) {
-    c.recount();
+    c.assert_recount();
     let pending = c.messages.values().filter(|m| m.destination == DestinationId(0) && m.attempts > 0).count();
     let out = c.flights.values().any(|f| f.1 == Some(OrderKey(9)));
     let key = out || c.keys.get(&OrderKey(9)).is_some_and(|k| k.queue.contains(&id));
@@ -214,14 +215,15 @@
     (pending, c.calls.len(), key, actions.iter().filter(answer).count())
 }
 
-/// Cancelled by its client, or out of time: queued, on a timer, in flight. Not counted any more, never sent again;
-/// only an attempt that is out keeps its slot and its key, until its outcome, however late, which answers nothing.
+/// Cancelled by its client or past its deadline while queued, in backoff or in flight: it is no longer counted
+/// and never sent again. Only an attempt in flight keeps its slot and its key until its outcome, which then
+/// answers nothing, however late it arrives.
 #[test]
-fn a_message_that_is_called_off_or_out_of_time_leaves_nothing_behind() {
+fn a_cancelled_or_expired_message_leaves_nothing_behind() {
     let id = MessageId(1);
     let sent = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Send { .. })).count();
     for phase in [Phase::Queued, Phase::OnTimer, Phase::InFlight] {
-        for called_off in [true, false] {
+        for cancelled in [true, false] {
             let mut c = Controller::new(settings(9, 1), 1, ms(1000)).unwrap();
             let mut actions = Vec::new();
             let mut step = |c: &mut Controller, now: u64, events: &[Event]| {
@@ -239,24 +241,25 @@
             let before = left(&c, &[], id);
             let pending = usize::from(phase != Phase::Queued);
             assert_eq!(before, (pending, usize::from(phase == Phase::InFlight), true, 0), "{phase:?}");
-            // The end: at once, or in the step in which its time is up; what is out at its deadline times out then.
+            // The end: at once, or in the step at the deadline; an attempt in flight at the deadline times out
+            // then.
             let out = phase == Phase::InFlight;
-            let done = match (called_off, out) {
+            let done = match (cancelled, out) {
                 (true, _) => step(&mut c, 1200, &[Event::Withdrawn(id)]),
                 (false, true) => step(&mut c, 17_000, &[ended(id, 0, EndpointId(0), Outcome::TimedOut)]),
                 (false, false) => step(&mut c, 16_990, &[Event::Wake(0)]),
             };
-            let held = called_off && out;
-            let answers = usize::from(!called_off);
-            assert_eq!(left(&c, &done, id), (0, usize::from(held), held, answers), "{phase:?} {called_off}");
-            // Its slot: the next message goes if it is free.
+            let held = cancelled && out;
+            let answers = usize::from(!cancelled);
+            assert_eq!(left(&c, &done, id), (0, usize::from(held), held, answers), "{phase:?} {cancelled}");
+            // The next message is sent if the slot is free.
             let next = step(&mut c, 17_500, &[listed(2), message(2, 0, 1, None, 0)]);
-            assert_eq!(sent(&next), usize::from(!held), "{phase:?} {called_off}");
+            assert_eq!(sent(&next), usize::from(!held), "{phase:?} {cancelled}");
             // The late outcome frees slot and key, and answers nothing.
             let late = step(&mut c, 17_600, &[ended(id, 0, EndpointId(0), Outcome::Broken)]);
             assert_eq!(left(&c, &late, id).3, 0);
             assert!(!c.flights.values().any(|f| f.1 == Some(OrderKey(9))));
-            assert_eq!(sent(&late), usize::from(held), "the slot is free: {phase:?} {called_off}");
+            assert_eq!(sent(&late), usize::from(held), "the slot is free: {phase:?} {cancelled}");
             for now in (17_700..40_000).step_by(50) {
                 let again = step(&mut c, now, &[Event::Wake(0)]);
                 assert!(
--- a/src/control/timers.rs
+++ b/src/control/timers.rs
@@ -1,18 +1,18 @@
-//! The retransmission law, and what becomes of messages that wait.
+//! The retry policy, and what happens to waiting messages.
 
 use super::*;
 
 impl Controller {
-    /// Chance that a message is sent again when its timer fires, with so many pending there.
+    /// Probability of a resend when a timer fires, with this many messages pending at the destination.
     pub(super) fn resend_probability(&self, destination: DestinationId, pending: f64) -> f64 {
         let Some(d) = self.destinations.get(&destination) else { return 1.0 };
         let rate = d.first_sends.get(self.now, self.settings.tick.as_secs_f64() / RATE_WEIGHT);
         let q_min = (rate * T1.as_secs_f64()).max(rate * d.latency).max(Q_MIN_FLOOR);
-        // The paper's law: 1 up to the lower threshold, falling evenly to the floor at the upper one.
+        // The paper's rule: 1 up to the lower threshold, falling linearly to the minimum at the upper one.
         (1.0 - (1.0 - P_MIN) * (pending - q_min) / (Q_RATIO * q_min - q_min)).clamp(P_MIN, 1.0)
     }
 
-    /// Fires the timers that are due; one waits while nothing may go to its destination at all.
+    /// Fires the timers that are due, except where no endpoint of the destination is usable.
     pub(super) fn fire_timers(&mut self, actions: &mut Vec<Action>) {
         let due = |m: &Message| matches!(m.state, State::Backoff(at) if at <= self.now);
         let open = |m: &Message| self.live(m.destination).any(|e| self.usable(e));
@@ -27,21 +27,20 @@
             *pending.entry(m.destination).or_default() += 1.0;
         }
         for (id, destination) in due {
-            let chance =
-                self.resend_probability(destination, pending.get(&destination).copied().unwrap_or(0.0));
+            let p = self.resend_probability(destination, pending.get(&destination).copied().unwrap_or(0.0));
             let roll = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
             if let Some(m) = self.messages.get_mut(&id) {
                 (m.firings, m.ready_since) = (m.firings + 1, self.now);
                 let next = self.now + backoff(m.firings, self.settings.classes[m.class].target_latency);
-                // Found untried by a restart, it is no resend: the law puts it off, and not beyond its time.
+                // Untried before a restart, it is no resend: the policy delays it, but not past its deadline.
                 let last = m.attempts == 0 && m.deadline <= next + (next - self.now);
-                m.state = if last || roll < chance { State::Ready } else { State::Backoff(next) };
-                actions.push(Action::Note(Note::Timer(id, m.firings, last || roll < chance)));
+                m.state = if last || roll < p { State::Ready } else { State::Backoff(next) };
+                actions.push(Action::Note(Note::Timer(id, m.firings, last || roll < p)));
             }
         }
     }
 
-    /// Gives up what can never go again, and the rest a little before its time; hands back what is harmless.
+    /// Ends messages that cannot be sent again or are about to expire; refuses those that may be resubmitted.
     pub(super) fn expire(&mut self, actions: &mut Vec<Action>) {
         let (edge, wait) = (self.now + self.settings.tick * 2, self.settings.max_client_wait);
         let over = |m: &Message| m.state != State::InFlight && (m.deadline <= edge || !self.may_retry(m));
@@ -55,21 +54,19 @@
         }
     }
 
-    /// Hands back the least promising messages when room runs short; what a restart found untried goes last.
+    /// Refuses the messages of lowest utility when capacity runs short; untried ones from a restart go last.
     pub(super) fn shed_load(&mut self, actions: &mut Vec<Action>) {
         let room = (self.settings.max_held as f64 * HELD_SHARE) as usize;
         while self.messages.len() > room {
             let untried = |m: &Message| m.attempts == 0 && (m.firings > 0 || m.state != State::Ready);
-            let utility =
-                |(_, m): &(_, &Message)| if untried(m) { f64::MAX } else { self.current_utility(m) };
+            let value = |(_, m): &(_, &Message)| if untried(m) { f64::MAX } else { self.current_utility(m) };
             let all = self.messages.iter().filter(|(_, m)| self.may_refuse(m));
-            let Some(&id) = all.min_by(|a, b| utility(a).total_cmp(&utility(b))).map(|m| m.0) else { return };
+            let Some(&id) = all.min_by(|a, b| value(a).total_cmp(&value(b))).map(|m| m.0) else { return };
             actions.push(Action::Refuse { id, wait: self.settings.max_client_wait });
             self.remove_message(id);
         }
     }
 
-    /// What a delivery now would earn.
     pub(super) fn current_utility(&self, m: &Message) -> f64 {
         let c = &self.settings.classes[m.class];
         let late = self.now.saturating_sub(m.target_at).as_secs_f64();
@@ -82,7 +79,7 @@
     }
 }
 
-/// The time until the next timer fires: doubling from T1 up to the aim, and never under T1.
+/// Time until the next timer: doubling from T1 up to the latency target, at least T1.
 pub(super) fn backoff(firings: u32, target_latency: Duration) -> Duration {
     (T1 * (1 << firings.min(10))).min(target_latency.max(T1))
 }
--- a/src/control/view.rs
+++ b/src/control/view.rs
@@ -1,19 +1,20 @@
-//! What the module shows of itself, for whoever reports it. Nothing is decided here.
+//! Read-only views of the module's state for reporting; nothing is decided here.
 
 use super::*;
 
 impl Controller {
-    /// What is known of each listed endpoint: its health, when it was last heard, and the limit that was told, calls a
-    /// second; 0 if none was.
+    /// Health record of each listed endpoint: health, time of the last answer, and reported limit in calls
+    /// per second (0 if none was reported).
     pub fn health_records(&self) -> impl Iterator<Item = (EndpointId, Health, Duration, f64)> {
         let listed = self.endpoints.values().filter(|e| e.info.state != ListState::Gone);
         let limit_of = |e: &Endpoint| self.limiters.get(&e.limiter_id).map_or(0.0, |l| l.reported_limit);
         listed.map(move |e| (e.info.id, e.health, e.last_answer, limit_of(e)))
     }
 
-    /// Listed endpoints that are down or in the first half of their cold time, or of which for some time nothing better
-    /// than a refusal was heard: a process that begins anew would take them for well. Outages mostly take all endpoints
-    /// that share a lane, so one that has answered nobody since another's failure is among them.
+    /// Listed endpoints that are down, in the first half of their cold time, or have answered only with
+    /// refusals for some time: a new process without this record would take them for healthy. Outages mostly
+    /// affect all endpoints that share a rate limiter, so an endpoint without a success since another's
+    /// failure is included.
     pub fn unhealthy_endpoints(&self) -> impl Iterator<Item = EndpointId> {
         let half = self.settings.cold_time / 2;
         let unhealthy = move |e: &Endpoint| match e.health {
@@ -32,7 +33,8 @@
         listed.filter(move |e| unhealthy(e) || shares(e)).map(|e| e.info.id)
     }
 
-    /// Endpoints that are listed and get nothing now, by the module's choice: down but for trials, or told to wait.
+    /// Listed endpoints that receive no calls now by the module's decision: down except for trials, or within
+    /// a wait.
     pub fn avoided(&self) -> impl Iterator<Item = EndpointId> {
         let waits = |e: &Endpoint| self.limiters.get(&e.limiter_id).is_some_and(|l| l.wait_until > self.now);
         let avoided = move |e: &&Endpoint| e.health == Health::Down || waits(e);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,9 +1,9 @@
-//! The relay's core: which flows are open, and what has to be done for them.
+//! The relay's core: the open flows and the effects to carry out for them.
 //!
-//! It does no input or output and reads no clock; a caller steps it with the clock and carries out the
-//! effects in order. The decisions are the module's ([`Controller`]): the core keeps each flow's payload, its
-//! attempts and whether one is out, and turns the module's actions into effects that name the payload. It
-//! knows no wire; what a payload is and how a real server is called is the business of the fronts.
+//! It does no input or output and reads no clock; the caller steps it with the clock and carries out the
+//! effects in order. Decisions are made by the module ([`Controller`]): the core keeps each flow's payload, its
+//! attempts and whether a call is in flight, and turns the module's actions into effects that include the
+//! payload. It is independent of any protocol: the front ends define payloads and how a real server is called.
 
 mod step;
 mod terms;
@@ -29,7 +29,7 @@
     out: Option<u32>,
 }
 
-/// A flow, but for its payload.
+/// A flow without its payload.
 #[derive(Debug, Serialize, Deserialize)]
 struct FlowState {
     destination: DestinationId,
@@ -37,7 +37,7 @@
     out: Option<u32>,
 }
 
-/// What another process needs to go on with a core: the payloads, which outlive a process anyway, are not in it.
+/// Serialised form of a core for the next process. Payloads are not included: they are stored elsewhere anyway.
 #[derive(Debug, Serialize)]
 pub struct CoreSnapshot<'a> {
     #[serde(rename = "module")]
@@ -45,7 +45,7 @@
     flows: BTreeMap<FlowNo, FlowState>,
 }
 
-/// The same, as it was read.
+/// The deserialised counterpart of [`CoreSnapshot`].
 #[derive(Debug, Deserialize)]
 pub struct RestoredCore {
     #[serde(rename = "module")]
@@ -53,28 +53,29 @@
     flows: BTreeMap<FlowNo, FlowState>,
 }
 
-/// The open flows, and the module that decides about them.
+/// The open flows and the module that decides about them.
 #[derive(Debug)]
 pub struct Core<P> {
     controller: Controller,
     flows: BTreeMap<FlowNo, Flow<P>>,
     max_held: usize,
     events: Vec<Event>,
-    /// Flows handed in since the last step by someone who waits for the answer.
+    /// Flows submitted since the last step by a client that waits for the answer.
     submitted: Vec<FlowNo>,
-    /// Flows that an event since the last step has ended.
+    /// Flows ended by an event since the last step.
     ended: Vec<(FlowNo, End)>,
-    /// Destinations that told a wait since the last step.
+    /// Destinations that reported a wait since the last step.
     new_waits: BTreeSet<DestinationId>,
-    /// No new call may go out any more.
+    /// No further calls may be sent.
     closing: bool,
 }
 
 impl<P: Clone> Core<P> {
-    /// A core with no flows.
+    /// Creates a core without flows.
     ///
     /// # Errors
-    /// Settings that cannot work.
+    ///
+    /// Invalid settings.
     pub fn new(settings: Settings, seed: u64, now: Duration) -> Result<Self, SettingsError> {
         Ok(Core {
             max_held: settings.max_held,
@@ -88,8 +89,8 @@
         })
     }
 
-    /// What another process needs to go on; none while something has come in that was not decided on, or where no
-    /// call may go out any more, of which the module knows nothing.
+    /// The state for the next process; `None` while events are pending, or after [`Core::close`], which the
+    /// module has no record of.
     pub fn snapshot(&self) -> Option<CoreSnapshot<'_>> {
         let settled = self.events.is_empty() && self.submitted.is_empty() && self.ended.is_empty();
         let state = |f: &Flow<P>| FlowState { destination: f.destination, attempts: f.attempts, out: f.out };
@@ -97,7 +98,7 @@
         (settled && !self.closing).then(|| CoreSnapshot { controller: &self.controller, flows: flows() })
     }
 
-    /// The core that another process had, with the payloads of its flows. None if a flow has none.
+    /// Restores the core of another process with the payloads of its flows; `None` if a payload is missing.
     pub fn restore(
         saved: RestoredCore, max_held: usize, mut payload: impl FnMut(FlowNo) -> Option<P>,
     ) -> Option<Self> {
@@ -118,68 +119,69 @@
         })
     }
 
-    /// The flows that are open.
+    /// The open flows.
     pub fn flows(&self) -> impl Iterator<Item = FlowNo> {
         self.flows.keys().copied()
     }
 
-    /// From now on the module asks the proposer first (see [`Proposer`]).
+    /// Sets the proposer that the module asks first from now on (see [`Proposer`]).
     pub fn set_proposer(&mut self, proposer: Box<dyn Proposer>) {
         self.controller.set_proposer(proposer);
     }
 
-    /// Whether so many more flows may be held.
+    /// Whether `flows` more flows can be held.
     pub fn has_capacity(&self, flows: usize) -> bool {
         self.flows.len() + flows <= self.max_held
     }
 
-    /// How many flows are open.
+    /// Number of open flows.
     pub fn open_flows(&self) -> usize {
         self.flows.len()
     }
 
-    /// How many calls are out.
+    /// Number of calls in flight.
     pub fn open_calls(&self) -> usize {
         self.flows.values().filter(|f| f.out.is_some()).count()
     }
 
-    /// Real servers that are listed and get nothing now, by the module's choice.
+    /// Listed real servers that receive no calls now by the module's decision.
     pub fn avoided(&self) -> BTreeSet<ServerNo> {
         self.controller.avoided().collect()
     }
 
-    /// Endpoints that a process which begins anew has to meet with care.
+    /// Endpoints that a restarted process must treat as cold.
     pub fn unhealthy_endpoints(&self) -> impl Iterator<Item = ServerNo> {
         self.controller.unhealthy_endpoints()
     }
 
-    /// What the module has seen of each listed real server: its health, when it was last heard, and its told limit.
+    /// Health record of each listed real server: its health, the time of its last answer, and its reported
+    /// limit.
     pub fn health_records(&self) -> impl Iterator<Item = (ServerNo, crate::api::Health, Duration, f64)> {
         self.controller.health_records()
     }
 
-    /// Whether a step has something to work on.
+    /// Whether events are pending for the next step.
     pub fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
-    /// From now on no call goes out.
+    /// Stops sending calls from now on.
     pub fn close(&mut self) {
         self.closing = true;
     }
 
-    /// A flow was handed in; the next step says whether it is taken.
+    /// Submits a flow; the next step accepts or rejects it.
     pub fn submit(&mut self, flow: FlowNo, terms: FlowTerms, payload: P) {
         self.resubmit(flow, terms, Past::default(), payload);
     }
 
-    /// The same for one that was sent before, as another flow.
+    /// Submits a flow that was sent before under another number.
     pub fn resubmit(&mut self, flow: FlowNo, terms: FlowTerms, past: Past, payload: P) {
         self.submitted.push(flow);
         self.insert(flow, terms, past, payload);
     }
 
-    /// A flow that an earlier process had taken.
+    /// Takes over a flow that an earlier process had accepted.
     pub fn recover(&mut self, flow: FlowNo, terms: FlowTerms, past: Past, payload: P) {
         self.insert(flow, terms, past, payload);
     }
@@ -191,7 +193,7 @@
         self.events.push(Event::Message(message));
     }
 
-    /// Nobody wants the flow any more, and nothing is owed for it.
+    /// Withdraws a flow: it needs no answer any more.
     pub fn withdraw(&mut self, flow: FlowNo) {
         if self.flows.remove(&flow).is_some() {
             self.submitted.retain(|f| *f != flow);
@@ -199,7 +201,7 @@
         }
     }
 
-    /// A call ended.
+    /// Reports the end of a call.
     pub fn call_ended(&mut self, end: CallEnd) {
         let CallEnd { flow, attempt, server, outcome, finished, elapsed, limit } = end;
         let mut terminal = true;
@@ -216,24 +218,24 @@
         self.events.push(Event::Outcome(end));
     }
 
-    /// A probe ended.
+    /// Reports the end of a probe.
     pub fn probe_ended(&mut self, server: ServerNo, outcome: Outcome, limit: Option<LimitReport>) {
         self.events.push(Event::Probed { endpoint: server, outcome, limit });
     }
 
-    /// Service entries came: all there are, or those that changed.
+    /// Updates service entries: the complete list if `all`, else the changed entries.
     pub fn update_entries(&mut self, entries: Vec<ServiceEntry>, all: bool) {
         self.events.push(if all { Event::ListReplaced(entries) } else { Event::ListUpdate(entries) });
     }
 
-    /// An endpoint is cold: what has been put back after a drain is, and that is what the module is told.
+    /// Marks an endpoint as cold, by reporting it to the module as listed again after a drain.
     pub fn mark_cold(&mut self, entry: ServiceEntry) {
-        let drains = ServiceEntry { state: ListState::Draining, ..entry.clone() };
-        self.update_entries(vec![drains], false);
+        let draining = ServiceEntry { state: ListState::Draining, ..entry.clone() };
+        self.update_entries(vec![draining], false);
         self.update_entries(vec![entry], false);
     }
 
-    /// The limits that endpoints told, calls a second.
+    /// The limits that endpoints reported, in calls per second.
     pub fn reported_limits(&self) -> impl Iterator<Item = (ServerNo, f64)> {
         self.controller
             .health_records()
@@ -241,12 +243,12 @@
             .map(|(no, _, _, limit)| (no, limit))
     }
 
-    /// An endpoint told this limit before this process began: what a probe would have found that says nothing else.
+    /// Restores a limit that an endpoint reported to an earlier process, as a probe without any other result.
     pub fn restore_limit(&mut self, server: ServerNo, rate: f64) {
         self.probe_ended(server, Outcome::Void, Some(LimitReport { left: 0.0, rate }));
     }
 
-    /// A timer is due.
+    /// Reports that a timer is due.
     pub fn wake(&mut self) {
         self.events.push(Event::Wake(0));
     }
--- a/src/core/step.rs
+++ b/src/core/step.rs
@@ -1,10 +1,10 @@
-//! A step: what the module decides, as effects.
+//! A step: turns the module's decisions into effects.
 
 use super::*;
 use crate::api::Action;
 
 impl<P: Clone> Core<P> {
-    /// Lets the module decide on all that has come in and appends what has to be done.
+    /// Lets the module decide on all pending events and appends the resulting effects.
     pub fn step(&mut self, now: Duration, effects: &mut Vec<Effect<P>>) {
         let mut actions = Vec::new();
         let events = std::mem::take(&mut self.events);
@@ -14,8 +14,8 @@
                 effects.push(Effect::Ended(flow, f.payload, end));
             }
         }
-        // Guards the promise that no call of a flow begins before whoever handed it in can be told: what is
-        // taken comes before all calls, and what ends in its first step was never taken.
+        // Guarantees that no call of a flow starts before its submission can be confirmed: accepted flows come
+        // before all calls, and a flow that ends in its first step was never accepted.
         let over = |a: &Action| match a {
             Action::Refuse { id, .. } | Action::Fail(id) => Some(*id),
             _ => None,
@@ -39,12 +39,12 @@
                 let Some(f) = self.flows.get_mut(&id) else { return };
                 let attempt = f.attempts;
                 f.attempts += 1;
-                // Guards the attempts of flows that wait for the next process: told that its call did not go
-                // out, the module would try again and again until the flow had none left. It never hears.
+                // Preserves the attempts of flows that wait for the next process: if the module received the
+                // outcome of a call that was not sent, it would retry until the flow had no attempts left.
                 if self.closing {
                     return;
                 }
-                // Guards against two calls of one flow side by side, whatever the module asks for.
+                // Prevents two concurrent calls of one flow, whatever the module requests.
                 if f.out.is_some() {
                     let (outcome, elapsed) = (Outcome::Void, Duration::ZERO);
                     let end =
@@ -62,7 +62,7 @@
             Action::Wake { after, .. } => effects.push(Effect::Wake(after)),
             Action::Release(server) => effects.push(Effect::Release(server)),
             Action::Probe(server) => effects.push(Effect::Probe(server)),
-            // Every list comes unasked here: discovery keeps a watch of its own.
+            // Lists arrive unrequested here: discovery keeps its own watch.
             Action::Subscribe => {}
             Action::Log(line) => effects.push(Effect::Log(line)),
             Action::Note(note) => effects.push(Effect::Note(note)),
--- a/src/core/terms.rs
+++ b/src/core/terms.rs
@@ -1,19 +1,19 @@
-//! What the core is told, and what it asks for.
+//! Input and output types of the core.
 
 use super::{FlowNo, Outcome, ServerNo};
 use crate::api::{ClassId, DestinationId, LimitReport, Note, TenantId};
 use std::time::Duration;
 
-/// What the core has to know of a flow that is handed to it.
+/// Parameters of a submitted flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowTerms {
     /// Its class.
     pub class: ClassId,
     /// Its tenant, where there are tenants.
     pub tenant: Option<TenantId>,
-    /// Where it goes.
+    /// Destination to deliver to.
     pub destination: DestinationId,
-    /// Time until it is given up.
+    /// Time until its deadline.
     pub remaining: Duration,
 }
 
@@ -22,15 +22,15 @@
 pub enum End {
     /// Delivered.
     Delivered,
-    /// Given up, with no promise about its effect.
+    /// Failed; it may or may not have taken effect.
     Failed,
-    /// Handed back: coming again is harmless, after this time.
+    /// Refused: resubmitting it is harmless, after this time.
     Returned(Duration),
-    /// Over without us: withdrawn, or its time up elsewhere. Nothing is owed.
+    /// Ended elsewhere: withdrawn, or past its deadline. No answer is needed.
     Over,
 }
 
-/// The end of a call, as a front saw it.
+/// The end of a call as reported by a front end.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallEnd {
     /// The flow.
@@ -41,22 +41,22 @@
     pub server: ServerNo,
     /// How it ended.
     pub outcome: Outcome,
-    /// The front knows that the flow is over by this, whatever the outcome says.
+    /// Set if the front end has determined the end of the flow, whatever the outcome.
     pub finished: Option<End>,
-    /// Time since the call was ordered.
+    /// Time since the call was requested.
     pub elapsed: Duration,
-    /// What the answer told of a limit.
+    /// Limit reported in the answer.
     pub limit: Option<LimitReport>,
 }
 
-/// What a caller has to do, in this order.
+/// An effect for the caller to carry out, in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect<P> {
-    /// The flow is held from now on: make it lasting, then tell whoever handed it in.
+    /// The flow is held from now on: make it durable, then confirm it to the submitter.
     Accepted(FlowNo, P),
-    /// The flow was not taken: it ended in the step that brought it.
+    /// The flow was not accepted: it ended in the step that submitted it.
     Rejected(FlowNo, P, End),
-    /// Call the real server; report its end once by [`super::Core::call_ended`].
+    /// Call the real server; report the end of the call once by [`super::Core::call_ended`].
     Call {
         /// The flow.
         flow: FlowNo,
@@ -69,20 +69,20 @@
         /// What to send.
         payload: P,
     },
-    /// Stop waiting for a call; its end still has to be reported.
+    /// Stop waiting for a call; its end must still be reported.
     StopCall(FlowNo, u32),
-    /// A call to this destination that has not begun to go out must not go out any more.
+    /// Calls to this destination that have not started to be sent must be held back.
     HoldUnsent(DestinationId),
-    /// The flow is over.
+    /// The flow has ended.
     Ended(FlowNo, P, End),
     /// Close idle connections to the real server.
     Release(ServerNo),
     /// Call [`super::Core::wake`] and step once this time has passed.
     Wake(Duration),
-    /// Check whether the real server answers, if that can be done.
+    /// Check whether the real server answers, if possible.
     Probe(ServerNo),
     /// A line for the log.
     Log(String),
-    /// Something that happened inside the module.
+    /// An internal event of the module.
     Note(Note),
 }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,4 +1,4 @@
-//! The core, step by step.
+//! Step by step tests of the core.
 
 use super::*;
 use crate::api::{ClassId, ClassSettings, KindSettings, RateSource, UtilityDecay};
@@ -48,7 +48,7 @@
     FlowTerms { class: ClassId(class), tenant: None, destination: TO, remaining }
 }
 
-/// What a step asks for, but for timers and log lines.
+/// Effects of a step, without timers, log lines, notes and releases.
 fn step(core: &mut Core<&'static str>, after_ms: u64) -> Vec<Effect<&'static str>> {
     let mut effects = Vec::new();
     core.step(NOW + Duration::from_millis(after_ms), &mut effects);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn what_is_taken_comes_before_any_call_and_what_ends_at_once_was_never_taken() {
+fn accepted_flows_come_before_calls_and_a_flow_that_ends_at_once_is_not_accepted() {
     let mut core = core(4);
     for flow in 1..=4 {
         assert!(core.has_capacity(1));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn ends_are_told_once_and_a_told_wait_holds_what_is_not_yet_out() {
+fn ends_are_reported_once_and_a_reported_wait_holds_unsent_calls() {
     let mut core = core(50);
     (1..=3).for_each(|flow| core.submit(FlowNo(flow), terms(0), "p"));
     assert_eq!(core.open_calls() + step(&mut core, 0).len(), 6);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_flow_from_before_a_restart_keeps_its_attempts_and_its_risk() {
+fn a_flow_from_before_a_restart_keeps_its_attempts_and_its_possible_execution() {
     let mut core = core(50);
     let risk = Some((Duration::from_secs(1), ServerNo(0)));
     core.recover(FlowNo(1), terms(0), Past { held: true, attempts: 1, risk }, "may have run");
@@ -107,7 +107,7 @@
     core.recover(FlowNo(3), terms(1), Past { held: true, attempts: 1, risk }, "may run again");
     let effects = step(&mut core, 0);
     assert_eq!(effects, [Effect::Ended(FlowNo(1), "may have run", End::Failed)]);
-    // The others go by their timers: each at its own moment, and not all at once.
+    // The others follow their timers, which have jitter: each at its own time, not all at once.
     core.wake();
     let effects = step(&mut core, 800);
     let calls = effects.iter().filter_map(|e| match e {
@@ -115,7 +115,7 @@
         _ => None,
     });
     assert_eq!(calls.collect::<Vec<_>>(), [(2, 2), (3, 1)]);
-    // Told to close, it lets no call out, and the flow stays open.
+    // After `close` no call is sent, and the flow stays open.
     core.call_ended(CallEnd { attempt: 2, ..end(2, Outcome::Unreachable) });
     core.close();
     for ms in (900..3800).step_by(50) {
@@ -126,10 +126,10 @@
     assert_eq!(core.open_flows(), 2);
 }
 
-/// While its record is being written a flow may be out of time, or the write may fail: nothing of it is left, and
-/// the end of the call that never went out tells nothing.
+/// While its record is written a flow may pass its deadline, or the write may fail: it must leave nothing
+/// behind, and the end of the call that was never sent must have no effect.
 #[test]
-fn a_flow_that_could_not_be_written_down_or_ran_out_meanwhile_ends_once_and_frees_its_place() {
+fn a_flow_whose_write_failed_or_took_too_long_ends_once_and_frees_its_slot() {
     for written in [false, true] {
         let mut core = core(50);
         core.submit(FlowNo(1), terms(0), "p");
@@ -138,7 +138,7 @@
         if !written {
             core.withdraw(FlowNo(1));
         }
-        // The write took longer than the flow had; the call was not dialled any more.
+        // The write took longer than the flow's remaining time; the call was not started.
         core.call_ended(end(1, if written { Outcome::Unreachable } else { Outcome::Void }));
         let effects = step(&mut core, 9000);
         let ended = [Effect::Ended(FlowNo(1), "p", End::Failed)];
--- a/src/core/wakes.rs
+++ b/src/core/wakes.rs
@@ -1,28 +1,28 @@
-//! The times at which the module asked to be woken.
+//! Times at which the module requested to be woken.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Every wake that was asked for and has not come. The module asks for a later one only once the one that it
-/// waits for has passed, so each of them has to come: kept as the earliest alone, a wake that comes between two
-/// of them swallows the later one, and where nothing else happens the module sleeps past its timers and ends.
-/// Bounded by that: within one wait the module only asks for earlier ones.
+/// All requested wake-ups that are still to come. The module requests a later one only after the one that it
+/// waits for has passed, so none may be dropped: if only the earliest were kept, a wake-up between two others
+/// would replace the later one, and without other events the module would sleep past its timers and deadlines.
+/// The set stays small: within one wait the module only requests earlier ones.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 pub struct Wakes(BTreeSet<Duration>);
 
 impl Wakes {
-    /// One more wake is wanted.
+    /// Adds a wake-up.
     pub fn add(&mut self, at: Duration) {
         self.0.insert(at);
     }
 
-    /// When the next one is due.
+    /// The next wake-up.
     pub fn next(&self) -> Option<Duration> {
         self.0.first().copied()
     }
 
-    /// Whether any were due by `now`; they are over.
+    /// Removes the wake-ups due by `now`; true if there were any.
     pub fn take_due(&mut self, now: Duration) -> bool {
         let before = self.0.len();
         self.0.retain(|at| *at > now);
@@ -36,10 +36,10 @@
     use super::super::{Effect, FlowNo};
     use super::*;
 
-    /// Drives a core as a relay does that is a little late in all it does and to which nothing else happens
-    /// than one message and, some time later, one that disturbs its timers.
+    /// Drives a core like a relay that is always slightly late and has no events other than one message and,
+    /// some time later, a second one that changes the timers.
     #[test]
-    fn a_flow_that_cannot_be_sent_ends_in_its_time_though_nothing_but_wakes_moves_the_relay() {
+    fn an_unsendable_flow_ends_in_time_when_wakes_are_the_only_events() {
         let late = Duration::from_micros(700);
         let deadline = NOW + terms(0).remaining;
         for disturbed_at in (0..400u64).map(|i| deadline - Duration::from_micros(10_000 + i * 400)) {
@@ -69,7 +69,11 @@
                 if wakes.take_due(now) {
                     core.wake();
                 }
-                assert!(now <= deadline + late, "asleep {:?} past the end of a flow", now - deadline);
+                assert!(
+                    now <= deadline + late,
+                    "no wake-up until {:?} past the end of a flow",
+                    now - deadline
+                );
             }
         }
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings of an instance as the platform words them: JSON, the same on the simulator's wire and in a
-//! real relay's configuration.
+//! Settings of an instance in the platform's JSON format, shared by the simulator's wire protocol and the
+//! configuration of a real relay.
 
 use crate::api::*;
 use serde::{Deserialize, Deserializer, de::Error};
@@ -17,7 +17,7 @@
 
 impl std::error::Error for ReadError {}
 
-/// Milliseconds as a number, to the microsecond; none if it is negative or no time at all.
+/// Converts milliseconds to a duration, rounded to the microsecond; `None` if negative or out of range.
 pub fn duration_ms(ms: f64) -> Option<Duration> {
     let micros = (ms * 1000.0).round();
     (micros >= 0.0 && micros < u64::MAX as f64).then(|| Duration::from_micros(micros as u64))
@@ -30,7 +30,7 @@
 impl<'de> Deserialize<'de> for Ms {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let ms = f64::deserialize(from)?;
-        duration_ms(ms).map(Ms).ok_or_else(|| D::Error::custom(format!("{ms} is no time in milliseconds")))
+        duration_ms(ms).map(Ms).ok_or_else(|| D::Error::custom(format!("{ms} is not a time in milliseconds")))
     }
 }
 
@@ -126,7 +126,7 @@
     quota_per_s: f64,
 }
 
-/// The names that settings give, by which later lines refer to them.
+/// Names defined in the settings, which later messages refer to.
 #[derive(Debug, Clone, Default, serde::Serialize)]
 pub struct Names {
     /// Classes of messages, by [`ClassId`].
@@ -142,7 +142,8 @@
 /// Reads the settings object.
 ///
 /// # Errors
-/// What is missing or cannot be understood.
+///
+/// Describes the part that is missing or invalid.
 pub fn read(text: &str) -> Result<(Settings, Names), ReadError> {
     let bad = |e: serde_json::Error| ReadError(e.to_string());
     let c: Config = serde_json::from_str(text).map_err(bad)?;
@@ -204,7 +205,7 @@
         "by_key" => Effect::Keyed { group, window: c.window_ms.0 },
         "once" => Effect::Once,
         other => {
-            return Err(ReadError(format!("class effect `{other:.40}` is not known")));
+            return Err(ReadError(format!("class effect `{other:.40}` is unknown")));
         }
     };
     Ok(ClassSettings {
