--- a/src/bin/onyxstile-adapter/fields.rs
+++ b/src/bin/onyxstile-adapter/fields.rs
@@ -1,11 +1,11 @@
-//! The parts of a line, and what is wrong with them.
+//! Parses the fields of a line and reports malformed ones.
 
 use onyxstile::settings::duration_ms;
 use std::fmt;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// A part of a line that cannot be read.
+/// A field that cannot be parsed.
 #[derive(Debug)]
 pub struct Malformed {
     field: &'static str,
@@ -18,7 +18,7 @@
         Malformed { field, what: what.into(), line: None }
     }
 
-    /// The fault lies in an earlier line than the one that brought it to light.
+    /// Attributes the error to an earlier line than the one that revealed it.
     pub fn at_line(mut self, line: u64) -> Self {
         self.line = Some(line);
         self
@@ -35,17 +35,17 @@
     }
 }
 
-/// A value shortened and stripped of control characters, fit for an error line.
+/// Shortens a value and strips control characters, for error messages.
 pub fn excerpt(value: &str) -> String {
     value.chars().filter(|c| !c.is_control()).take(40).collect()
 }
 
-/// The same for a whole message.
+/// Like [`excerpt`], for a complete message.
 pub fn long_excerpt(message: &str) -> String {
     message.chars().filter(|c| !c.is_control()).take(160).collect()
 }
 
-/// The parts of one line, taken from left to right.
+/// The fields of one line, read from left to right.
 pub struct Fields<'a> {
     rest: Option<&'a str>,
 }
@@ -55,7 +55,7 @@
         Fields { rest: Some(line) }
     }
 
-    /// The next part, which has to be there.
+    /// The next field, which is required.
     pub fn word(&mut self, field: &'static str) -> Result<&'a str, Malformed> {
         let rest = self.rest.ok_or_else(|| Malformed::new(field, "is missing"))?;
         let (word, rest) = match rest.split_once(' ') {
@@ -66,7 +66,7 @@
         if word.is_empty() { Err(Malformed::new(field, "is empty")) } else { Ok(word) }
     }
 
-    /// The next part; `-` and a missing part are both absent.
+    /// The next field; `None` if it is `-` or missing.
     pub fn optional(&mut self, field: &'static str) -> Result<Option<&'a str>, Malformed> {
         if self.rest.is_none() {
             return Ok(None);
@@ -74,7 +74,7 @@
         Ok(Some(self.word(field)?).filter(|w| *w != "-"))
     }
 
-    /// All that is left of the line.
+    /// The rest of the line.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, Malformed> {
         self.rest.take().ok_or_else(|| Malformed::new(field, "is missing"))
     }
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Nothing may be left.
+    /// Fails if the line has further fields.
     pub fn end(&mut self) -> Result<(), Malformed> {
         match self.rest.take() {
             Some(rest) => Err(Malformed::new("end of line", format!("`{}` is unexpected", excerpt(rest)))),
@@ -112,8 +112,7 @@
     word.parse().map_err(|_| Malformed::new(field, format!("`{}` is not a valid number", excerpt(word))))
 }
 
-/// Milliseconds as written, to the microsecond, without passing through floating point. Times in the past
-/// count as none.
+/// Parses milliseconds exactly to the microsecond, without floating point. Negative times count as zero.
 pub fn time(word: &str, field: &'static str) -> Result<Duration, Malformed> {
     let bad = || Malformed::new(field, format!("`{}` is not a time in milliseconds", excerpt(word)));
     let (negative, digits) = match word.strip_prefix('-') {
@@ -123,7 +122,7 @@
     let (whole, part) = digits.split_once('.').unwrap_or((digits, ""));
     let plain = |s: &str| s.bytes().all(|b| b.is_ascii_digit());
     if !plain(whole) || !plain(part) || whole.is_empty() {
-        // Only a number in exponent form may still be good.
+        // Only a number in exponent form may still be valid.
         let ms: f64 = word.parse().map_err(|_| bad())?;
         return duration_ms(ms).ok_or_else(bad);
     }
@@ -133,7 +132,7 @@
     Ok(if negative { Duration::ZERO } else { Duration::from_micros(total) })
 }
 
-/// Writes a time as milliseconds, to the microsecond.
+/// Writes a time in milliseconds, to the microsecond.
 pub fn write_ms(out: &mut String, time: Duration) {
     use fmt::Write;
     let micros = time.as_micros();
--- a/src/bin/onyxstile-adapter/host.rs
+++ b/src/bin/onyxstile-adapter/host.rs
@@ -1,4 +1,4 @@
-//! Many controllers behind one pipe.
+//! Hosts many controllers on one pipe.
 
 use crate::fields::{Fields, Malformed, excerpt, long_excerpt, write_ms};
 use onyxstile::Controller;
@@ -8,10 +8,10 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// List numbers run from 0 to 15.
+/// Number of list slots; lists are numbered from 0 to 15.
 const MAX_LISTS: usize = 16;
 
-/// One line of a list, not yet tied to an instance.
+/// An entry of a list, not yet resolved for an instance.
 #[derive(Clone)]
 pub struct ListEntry {
     endpoint: String,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A batch opens.
+    /// Begins a batch at this clock, which must not go back.
     pub fn begin(&mut self, clock: Duration) -> Result<(), Malformed> {
         if self.started && clock < self.now {
             return Err(Malformed::new("clock", "is earlier than the previous one"));
@@ -112,7 +112,7 @@
         Ok(())
     }
 
-    /// A list opens; returns how many entries follow.
+    /// Begins a list; returns the number of entries that follow.
     pub fn begin_list(&mut self, fields: &mut Fields<'_>) -> Result<usize, Malformed> {
         let number: usize = fields.number("sheet")?;
         if number >= MAX_LISTS {
@@ -125,14 +125,14 @@
         Ok(entries)
     }
 
-    /// The next entry of the open list.
+    /// Adds the next entry to the open list.
     pub fn add_entry(&mut self, entry: ListEntry) {
         if let Some(entries) = &mut self.lists[self.open_list] {
             entries.push(entry);
         }
     }
 
-    /// Any other line of a batch.
+    /// Handles any other line of a batch.
     pub fn event(&mut self, name: &str, fields: &mut Fields<'_>) -> Result<(), Malformed> {
         if name == "on" {
             self.current = Some(fields.number("sender")?);
@@ -228,7 +228,7 @@
                 let limit = limit_report(fields)?;
                 instance.events.push(Event::Probed { endpoint, outcome, limit });
             }
-            // Streams and peers: read for form, of no use to the decisions.
+            // Streams and peers are validated but not used in decisions.
             "first" => {
                 fields.number::<u64>("xid")?;
                 fields.number::<u32>("copy")?;
@@ -246,7 +246,7 @@
         fields.end()
     }
 
-    /// The batch is complete: every instance spoken to decides, and its actions are written.
+    /// Ends the batch: steps every instance that was addressed and writes its actions.
     pub fn finish(&mut self, reply: &mut String) {
         let mut actions = Vec::new();
         for (number, instance) in &mut self.instances {
@@ -299,7 +299,7 @@
     found.ok_or_else(|| Malformed::new(field, format!("`{}` is not in the settings", excerpt(name))))
 }
 
-/// A whole number that may be written with a fraction of zero.
+/// An integer, possibly with a fraction of zeros.
 fn integer(word: &str, field: &'static str) -> Result<u64, Malformed> {
     let digits = word.split_once('.').filter(|(_, part)| part.bytes().all(|b| b == b'0'));
     let digits = digits.map_or(word, |(whole, _)| whole);
--- a/src/bin/onyxstile-adapter/main.rs
+++ b/src/bin/onyxstile-adapter/main.rs
@@ -1,5 +1,5 @@
-//! Hosts onyxstile controllers on the simulator's wire: reads batches on standard input, writes one reply for
-//! each on standard output. It translates and decides nothing.
+//! Hosts onyxstile controllers for the simulator's wire protocol: reads batches from standard input and writes one
+//! reply for each to standard output. It only translates; the controllers decide.
 
 mod fields;
 mod host;
@@ -19,7 +19,7 @@
     }
 }
 
-/// Serves batches until the input ends. An unfinished batch at the end of the input gets no reply.
+/// Serves batches until the input ends. An unfinished batch at the end of the input receives no reply.
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut host = Host::new();
     let mut reply = String::new();
--- a/src/control/events.rs
+++ b/src/control/events.rs
@@ -157,10 +157,10 @@
         }
         // Suspicion is right if a call is answered while an earlier one on a suspected connection is open,
         // wrong if that is answered too. Unanswered, it is no evidence on the endpoint.
-        let doubted = |c: &Call| c.endpoint == endpoint && c.idle_for > self.trusted && c.sent < sent;
+        let suspected = |c: &Call| c.endpoint == endpoint && c.idle_for > self.trusted && c.sent < sent;
         if ok && idle_for > self.trusted {
             (self.trusted, self.doubt_until) = (self.settings.keepalive, self.now);
-        } else if ok && self.calls.values().any(doubted) {
+        } else if ok && self.calls.values().any(suspected) {
             self.doubt_until = self.now + SHORTAGE_MEMORY;
         }
         let refused = matches!(outcome, Outcome::Overloaded { .. });
--- a/src/control/guards.rs
+++ b/src/control/guards.rs
@@ -71,7 +71,7 @@
             && k.cooldown.is_none_or(|(until, by)| by == id || self.now >= until)
     }
 
-    /// Whether the client may be told that submitting the message again is harmless.
+    /// Whether the client may be informed that submitting the message again is harmless.
     pub(super) fn may_refuse(&self, m: &Message) -> bool {
         let harmless = match self.settings.classes[m.class].effect {
             Effect::Repeatable | Effect::Keyed { group: RepeatGroup::All, .. } => true,
--- a/src/control/health.rs
+++ b/src/control/health.rs
@@ -37,10 +37,10 @@
                 limiter.recent.add(now, RECENT_TAU);
                 if let Some(report) = limit.filter(|r| r.rate > 0.0) {
                     // The limit is reported: pace at this sender's part, more while others leave capacity.
-                    let room = report.left.clamp(0.0, 1.0);
-                    let most = limiter.own + part.max(report.rate * SPARE_SHARE) * room;
+                    let spare = report.left.clamp(0.0, 1.0);
+                    let most = limiter.own + part.max(report.rate * SPARE_SHARE) * spare;
                     let paced = if limiter.pace < PACE_MAX { limiter.pace } else { limiter.own };
-                    limiter.pace = (paced + paced).min(most).max(limiter.own + part * room);
+                    limiter.pace = (paced + paced).min(most).max(limiter.own + part * spare);
                 }
                 match e.health {
                     Health::Well => e.usual.add(now, USUAL_TAU),
--- a/src/control/timers.rs
+++ b/src/control/timers.rs
@@ -28,14 +28,14 @@
         }
         for (id, destination) in due {
             let p = self.resend_probability(destination, pending.get(&destination).copied().unwrap_or(0.0));
-            let roll = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
+            let sample = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
             if let Some(m) = self.messages.get_mut(&id) {
                 (m.firings, m.ready_since) = (m.firings + 1, self.now);
                 let next = self.now + backoff(m.firings, self.settings.classes[m.class].target_latency);
                 // Untried before a restart, it is no resend: the policy delays it, but not past its deadline.
                 let last = m.attempts == 0 && m.deadline <= next + (next - self.now);
-                m.state = if last || roll < p { State::Ready } else { State::Backoff(next) };
-                actions.push(Action::Note(Note::Timer(id, m.firings, last || roll < p)));
+                m.state = if last || sample < p { State::Ready } else { State::Backoff(next) };
+                actions.push(Action::Note(Note::Timer(id, m.firings, last || sample < p)));
             }
         }
     }
@@ -56,8 +56,8 @@
 
     /// Refuses the messages of lowest utility when capacity runs short; untried ones from a restart go last.
     pub(super) fn shed_load(&mut self, actions: &mut Vec<Action>) {
-        let room = (self.settings.max_held as f64 * HELD_SHARE) as usize;
-        while self.messages.len() > room {
+        let limit = (self.settings.max_held as f64 * HELD_SHARE) as usize;
+        while self.messages.len() > limit {
             let untried = |m: &Message| m.attempts == 0 && (m.firings > 0 || m.state != State::Ready);
             let value = |(_, m): &(_, &Message)| if untried(m) { f64::MAX } else { self.current_utility(m) };
             let all = self.messages.iter().filter(|(_, m)| self.may_refuse(m));
@@ -70,9 +70,9 @@
     pub(super) fn current_utility(&self, m: &Message) -> f64 {
         let c = &self.settings.classes[m.class];
         let late = self.now.saturating_sub(m.target_at).as_secs_f64();
-        let whole = c.deadline.saturating_sub(c.target_latency).as_secs_f64().max(0.001);
+        let span = c.deadline.saturating_sub(c.target_latency).as_secs_f64().max(0.001);
         let left = match self.settings.utility_decay {
-            UtilityDecay::Linear => 1.0 - (1.0 - c.late_utility) * (late / whole).min(1.0),
+            UtilityDecay::Linear => 1.0 - (1.0 - c.late_utility) * (late / span).min(1.0),
             UtilityDecay::Halving => 0.5f64.powf((late / c.target_latency.as_secs_f64().max(0.001)).ceil()),
         };
         m.utility * left.max(c.late_utility)
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -70,8 +70,8 @@
     }
     assert!(!core.has_capacity(1));
     let effects = step(&mut core, 0);
-    let taken = effects.iter().filter(|e| matches!(e, Effect::Accepted(..))).count();
-    assert_eq!(taken, 3, "{effects:?}");
+    let accepted = effects.iter().filter(|e| matches!(e, Effect::Accepted(..))).count();
+    assert_eq!(accepted, 3, "{effects:?}");
     assert!(effects[..3].iter().all(|e| matches!(e, Effect::Accepted(..))), "{effects:?}");
     let wait = Duration::from_millis(500);
     assert!(effects.iter().any(|e| matches!(e, Effect::Rejected(_, "p", End::Returned(w)) if *w == wait)));
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,4 +1,4 @@
-//! The one answer of each message, on the module alone.
+//! Each message receives exactly one answer; tested on the module alone.
 #![allow(missing_docs)]
 mod common;
 use common::*;
@@ -7,7 +7,7 @@
 const FULL: Outcome = Outcome::Overloaded { wait: None };
 
 #[test]
-fn a_message_that_never_goes_out_is_handed_back_once_before_its_deadline() {
+fn a_message_that_is_never_sent_is_refused_once_before_its_deadline() {
     let mut harness = ControllerHarness::new(settings(), &[]);
     let (id, actions) = harness.submit(0, None);
     assert!(sends(&actions).is_empty());
@@ -20,9 +20,9 @@
     assert!(ends[0].0 <= start + ms(16_000), "late answer");
 }
 
-/// A message without a future is answered in the step in which that is known, not near its deadline.
+/// A message that cannot be sent again is answered in the step in which that is certain, not near its deadline.
 #[test]
-fn a_message_that_can_never_go_again_is_answered_at_once() {
+fn a_message_that_cannot_be_sent_again_is_answered_at_once() {
     let mut harness = ControllerHarness::new(Settings { max_attempts: 2, ..settings() }, &[1]);
     for outcome in [FULL, Outcome::Unreachable, Outcome::Failure, Outcome::TimedOut] {
         let (id, actions) = harness.submit(0, None);
@@ -32,7 +32,7 @@
             continue;
         }
         let first = harness.outcome(id, 0, endpoint, outcome);
-        assert!(!first.contains(&Action::Fail(id)), "a try is left after {outcome:?}");
+        assert!(!first.contains(&Action::Fail(id)), "an attempt is left after {outcome:?}");
         let again = timed_sends(&harness.advance(ms(15_000)));
         let Some(second) = again.iter().find(|s| s.1 == id) else { panic!("not tried again: {outcome:?}") };
         let last = harness.outcome(id, 1, second.2, outcome);
@@ -42,9 +42,9 @@
     }
 }
 
-/// What is given up early goes back to the program with when to come again, if that is harmless and there is time.
+/// A message given up early is refused with a time to resubmit it, if a resubmission is harmless and there is time.
 #[test]
-fn what_is_given_up_early_is_handed_back_where_that_is_harmless() {
+fn a_message_given_up_early_is_refused_where_that_is_harmless() {
     let given_up = |class, remaining, outcome| {
         let mut harness = ControllerHarness::new(Settings { max_attempts: 1, ..settings() }, &[1]);
         let (id, mut event) = harness.new_message(class, None);
@@ -57,12 +57,12 @@
     assert!(given_up(0, ms(16_000), Outcome::Failure), "safe to repeat, with time left");
     assert!(given_up(2, ms(16_000), FULL), "it never ran");
     assert!(!given_up(2, ms(16_000), Outcome::Failure), "it may have taken effect");
-    assert!(!given_up(0, ms(1500), Outcome::Failure), "no time to come again");
+    assert!(!given_up(0, ms(1500), Outcome::Failure), "no time to resubmit");
 }
 
-/// Odd but legal: one slot, absurd reports, a fleet of one and of three hundred. Nothing is lost.
+/// Unusual but valid settings and limit reports (one slot, extreme values, fleets of 1 and 300): no answer is lost.
 #[test]
-fn odd_settings_and_reports_keep_every_answer() {
+fn unusual_settings_and_reports_lose_no_answer() {
     for (senders, left, rate) in
         [(1, -5.0, 0.0), (300, 1e300, 1e300), (300, 0.0, -7.0), (1, f64::MIN, 1e-300)]
     {
--- a/tests/cluster/fleet.rs
+++ b/tests/cluster/fleet.rs
@@ -1,20 +1,20 @@
-//! A partner that goes away and comes back cold, and several relays that call it.
+//! A partner that has an outage and returns cold, and several relays that call it.
 
 use super::*;
 use std::collections::BTreeSet;
 
-/// How a partner is away.
+/// Behaviour of a partner during an outage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum OutageKind {
-    /// It refuses connections.
+    /// Refuses connections.
     ConnectionRefused,
-    /// It takes calls and answers none.
+    /// Accepts calls and never answers.
     Silent,
-    /// It says no, and not for how long.
+    /// Refuses calls without a wait.
     Overloaded,
-    /// It says no, and until when.
+    /// Refuses calls with a wait until the end of the outage.
     OverloadedWithWait,
-    /// It answers with errors.
+    /// Answers with errors.
     Errors,
 }
 
@@ -27,7 +27,7 @@
 ];
 
 impl OutageKind {
-    /// What a call hears, if anything; `wait` is what is told where a wait is.
+    /// The outcome of a call, if it is answered; `wait` is the wait reported by `OverloadedWithWait`.
     pub fn outcome(self, wait: Duration) -> Option<Outcome> {
         match self {
             OutageKind::ConnectionRefused => Some(Outcome::Unreachable),
@@ -39,15 +39,15 @@
     }
 }
 
-/// Takes `rate` calls a second, and for `cold` after an outage only a share that grows from `start`.
+/// Accepts `rate` calls per second; for `cold` after an outage only a share that grows from `start`.
 pub struct Partner {
     pub rate: f64,
     pub start: f64,
     pub cold: Duration,
     pub outage: (Duration, Duration, OutageKind),
-    /// When calls and probes came, and of which relay.
+    /// Time and relay of each call and probe.
     pub arrivals: Vec<(Duration, usize)>,
-    /// Relays that saw a call or a probe fail, or be refused, while it was away.
+    /// Relays that saw a call or a probe fail or be refused during the outage.
     pub observers: BTreeSet<usize>,
     tokens: f64,
     at: Duration,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Calls a second that it takes at a moment.
+    /// Calls per second that it accepts at the given time.
     pub fn capacity(&self, now: Duration) -> f64 {
         let (from, back, _) = self.outage;
         if now < from {
@@ -78,7 +78,7 @@
         self.rate * (self.start + (1.0 - self.start) * warm)
     }
 
-    /// What a call that comes now will hear; none: nothing.
+    /// Outcome of a call that arrives now; `None` if it is not answered.
     pub fn respond(&mut self, relay: usize, now: Duration) -> Option<Outcome> {
         self.arrivals.push((now, relay));
         let (from, back, how) = self.outage;
@@ -96,14 +96,14 @@
         Some(Outcome::Success)
     }
 
-    /// A relay has heard what became of a call or a probe.
+    /// A relay received the outcome of a call or a probe.
     fn record_outcome(&mut self, relay: usize, outcome: Outcome, now: Duration) {
         if outcome != Outcome::Success && (self.outage.0..self.outage.1).contains(&now) {
             self.observers.insert(relay);
         }
     }
 
-    /// Calls in each of so many seconds from a moment on.
+    /// Calls in each of the given number of seconds.
     pub fn by_second(&self, from: Duration, seconds: u64) -> Vec<usize> {
         let of = |n: u64| {
             let second = from + ms(1000 * n)..from + ms(1000 * (n + 1));
@@ -112,8 +112,8 @@
         (0..seconds).map(of).collect()
     }
 
-    /// The worst window of the cold rule after the return: calls in it over what it may hold and two more, for
-    /// the rule has some slack for chance. It counts where two thirds came from relays that knew of the outage.
+    /// The worst window of the cold rule after the return: calls in it relative to the allowance plus two, as the
+    /// rule has some slack for chance. Counted if two thirds came from relays that observed the outage.
     pub fn worst(&self, settings: &Settings) -> f64 {
         let (back, span) = (self.outage.1, settings.overload_span);
         let after: Vec<_> = self.arrivals.iter().filter(|a| a.0 >= back).collect();
@@ -127,20 +127,20 @@
     }
 }
 
-/// Several relays and one partner with so many real servers.
+/// Several relays and one partner with `servers` real servers.
 pub struct Fleet {
     pub now: Duration,
     pub partner: Partner,
     pub relays: Vec<Relay>,
     pub servers: u32,
-    /// Relay, flow, attempt, server, when sent, when its end comes, what it is.
+    /// Relay, flow, attempt, server, time of the send, time of the end, outcome.
     out: Vec<(usize, FlowNo, u32, ServerNo, Duration, Duration, Outcome)>,
     pub delivered: usize,
     pub failed: usize,
 }
 
 pub const TO: DestinationId = DestinationId(7);
-/// A call's time at the partner.
+/// Response time of the partner.
 const LATENCY: Duration = Duration::from_millis(80);
 
 impl Fleet {
@@ -158,13 +158,13 @@
         self.relays[relay].submit(class, TO, self.now + life, self.now)
     }
 
-    /// Kills a relay and starts it again at once.
+    /// Kills a relay and restarts it at once.
     pub fn kill(&mut self, relay: usize) {
         self.out.retain(|o| o.0 != relay);
         self.relays[relay].restart(entries(self.servers), self.now);
     }
 
-    /// Lets time pass, 5 ms at a time; `each` hands in what comes.
+    /// Advances the clock in steps of 5 ms; `each` submits the traffic.
     pub fn advance(&mut self, time: Duration, each: &mut dyn FnMut(&mut Fleet)) {
         let until = self.now + time;
         while self.now < until {
--- a/tests/cluster/mod.rs
+++ b/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A relay without sockets: the module, the core and the journal as the owner joins them, and a partner that
-//! counts what reaches it. Time is the test's, and so is chance.
+//! A relay without sockets: module, core and journal, connected as in the owner, and a partner that counts its
+//! calls. Clock and random numbers are controlled by the test.
 #![allow(dead_code, missing_docs)]
 
 mod fleet;
@@ -21,21 +21,21 @@
 
 pub type RelayEffect = Effect<Rc<Parcel>>;
 
-/// Where every clock begins.
+/// Start of every clock.
 pub const START: Duration = Duration::from_secs(1_000_000);
 
-/// Where in a step a kill comes.
+/// Where in a step the process is killed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Kill {
-    /// Nothing of it was written.
+    /// Before any of it was written.
     Unwritten,
-    /// So many bytes of it are missing at the file's end.
+    /// With this many bytes missing at the end of the file.
     Torn(u64),
-    /// All was written, and nothing done.
+    /// After everything was written, before any effect.
     Written,
 }
 
-/// A relay's process and its folder that lasts.
+/// A relay's process and its persistent folder.
 pub struct Relay {
     pub core: Core<Rc<Parcel>>,
     pub journal: Journal,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Hands a flow in, if there is room.
+    /// Submits a flow, if there is capacity.
     pub fn submit(
         &mut self, class: usize, destination: DestinationId, deadline: Duration, now: Duration,
     ) -> Option<FlowNo> {
@@ -109,7 +109,7 @@
         Some(no)
     }
 
-    /// The client calls it off.
+    /// The client cancels the flow.
     pub fn cancel(&mut self, flow: FlowNo) {
         self.core.withdraw(flow);
         self.waiting.retain(|(no, _)| *no != flow);
@@ -127,7 +127,8 @@
         self.unwritten.push(Record::Noticed(flow));
     }
 
-    /// Steps until nothing is left to do; what has to be done is in the journal first. None: it was killed.
+    /// Steps until no events are left; records are written to the journal before effects are returned. `None` if
+    /// killed.
     pub fn step(&mut self, now: Duration, kill: Option<Kill>) -> Option<Vec<RelayEffect>> {
         if self.wakes.take_due(now) {
             self.core.wake();
@@ -163,7 +164,7 @@
             if let Some(Kill::Torn(bytes)) = kill {
                 let length = std::fs::metadata(&path).unwrap().len();
                 let file = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
-                // What was there before the step cannot be torn by it.
+                // Data from before the step cannot be torn by it.
                 let least = if length > before { before } else { length };
                 file.set_len(length.saturating_sub(bytes).max(least)).unwrap();
             }
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Which endpoints are down or cold, and what limits are told, as `net::owner::sights` has it.
+    /// Records which endpoints are down or cold, and the reported limits, like `net::owner::sights`.
     fn write_health_records(&mut self) {
         let unhealthy = self.core.unhealthy_endpoints().map(|no| no.0.to_string()).collect();
         let limits = self.core.reported_limits().map(|(no, rate)| (no.0.to_string(), rate)).collect();
@@ -186,8 +187,8 @@
         self.journal.write(&records).unwrap();
     }
 
-    /// The next process takes over: it has the core as this one wrote it, and the journal as it is. False if not all is
-    /// decided on.
+    /// The next process takes over with the core as written by this one and the same journal. False while events
+    /// are pending.
     pub fn upgrade(&mut self) -> bool {
         let Some(written) = self.core.snapshot().filter(|_| self.unwritten.is_empty()) else { return false };
         let bytes = state::write(&written).unwrap();
@@ -198,7 +199,7 @@
         true
     }
 
-    /// The next process: what the journal has goes on, as `net::owner::recovery` has it.
+    /// The next process continues from the journal, like `net::owner::recovery`.
     pub fn restart(&mut self, entries: Vec<EndpointInfo>, now: Duration) {
         self.seed += 1;
         self.core = Core::new(self.settings.clone(), self.seed, now).unwrap();
@@ -208,7 +209,7 @@
         self.waiting.clear();
         self.unwritten.clear();
         self.core.update_entries(entries.clone(), true);
-        // What was down or cold is met as cold.
+        // Endpoints that were down or cold are treated as cold.
         let unhealthy = |e: &&EndpointInfo| self.journal.ledger().ill.contains(&e.id.0.to_string());
         for entry in entries.iter().filter(unhealthy) {
             self.core.mark_cold(entry.clone());
--- a/tests/cluster/rng.rs
+++ b/tests/cluster/rng.rs
@@ -1,9 +1,9 @@
-//! Chance.
+//! Seeded random numbers for tests.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Chance by a seed, which a failure prints.
+/// A random generator that prints its seed if the test fails.
 pub struct TestRng(Pcg32, u64);
 
 impl TestRng {
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -1,10 +1,11 @@
-//! What all relays of a fleet together send to a partner that returns cold, by the stricter rule: in any window of the
-//! rule's length, N calls as the settings allow then, and 2 x root of N + 2 by chance.
+//! Total load from all relays of a fleet on a partner that returns cold, checked by the stricter rule: in any
+//! window of the rule's length at most N calls, as allowed by the settings at that time, plus 2 x root of N + 2 for
+//! chance.
 //!
-//! The bound behind it: a relay's calls to a cold endpoint are a renewal process whose mean rate is 0.8 of its even part of
-//! N, with gaps between a half and three halves of their mean. Over the fleet the expectation is 0.8 N. Many thin processes
-//! add up to a Poisson count, whose deviation is root of 0.8 N, so the bound lies at 0.2 N + 2 x root of N + 2 above the
-//! expectation: over three deviations for any N. Regular gaps only make it narrower.
+//! Derivation: a relay's calls to a cold endpoint are a renewal process whose mean rate is 0.8 of its even part of
+//! N, with gaps between half and three halves of their mean. Over the fleet the expectation is 0.8 N. Many sparse
+//! processes add up to a Poisson count with a deviation of root of 0.8 N, so the bound lies 0.2 N + 2 x root of N +
+//! 2 above the expectation: over three deviations for any N. More regular gaps only narrow the distribution.
 #![allow(missing_docs)]
 mod cluster;
 mod common;
@@ -14,16 +15,16 @@
 use onyxstile::api::*;
 use std::time::Duration;
 
-/// Who saw the outage, and what became of the processes.
+/// Which relays observed the outage, and whether they were killed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum OutageView {
-    /// All relays had messages for the partner while it was away.
+    /// All relays had messages for the partner during the outage.
     ByAll,
-    /// Three in four had, and the others come to it cold.
+    /// Three in four had; the others first call it when it is cold.
     ByMost,
-    /// All, and then all are killed at its end and begin anew with what their journals hold.
+    /// All had; all are killed at the end of the outage and restart with their journals.
     KilledAtItsEnd,
-    /// All, and all are killed in its middle: what they know, they saw after that.
+    /// All had; all are killed in the middle of the outage and have only later observations.
     KilledInIt,
 }
 
@@ -32,7 +33,8 @@
 const OUTAGE: Duration = Duration::from_secs(9);
 const BEFORE: Duration = Duration::from_secs(6);
 
-/// The worst window after the return: calls in it over what it may hold; where two thirds came from relays that knew.
+/// The worst window after the return: calls in it relative to the bound; counted if two thirds came from relays
+/// that observed the outage.
 fn worst(partner: &Partner, s: &Settings) -> (f64, f64) {
     let (back, span) = (partner.outage.1, s.overload_span);
     let after: Vec<_> = partner.arrivals.iter().filter(|a| a.0 >= back).collect();
@@ -66,12 +68,12 @@
     let mut fleet = Fleet::new(&s, Partner::new(rate, &s, (from, back, how)), 2, seed);
     let mut killed = false;
     fleet.advance(BEFORE + OUTAGE + ms(9000), &mut |f| {
-        let away = (from..back).contains(&f.now);
-        // A little more than it takes, so that messages wait at all relays when it is back.
+        let in_outage = (from..back).contains(&f.now);
+        // Slightly more than the capacity, so that messages wait at all relays when the partner returns.
         let mut arrivals = rate * 1.2 * 0.005;
         while arrivals > 0.0 && rng.below(1_000_000) < (arrivals.min(1.0) * 1e6) as u64 {
             let relay = rng.below(u64::from(senders)) as usize;
-            if !(away && view == OutageView::ByMost && relay.is_multiple_of(4)) {
+            if !(in_outage && view == OutageView::ByMost && relay.is_multiple_of(4)) {
                 f.submit(relay, rng.pick(&[0, 0, 2]), ms(16_000));
             }
             arrivals -= 1.0;
@@ -84,7 +86,7 @@
         if f.now >= kill_at && !std::mem::replace(&mut killed, true) {
             (0..senders as usize).for_each(|r| f.kill(r));
             if view == OutageView::KilledInIt {
-                // What a process saw ends with it.
+                // Observations of a process end with it.
                 f.partner.observers.clear();
             }
         }
@@ -94,7 +96,7 @@
     (most, n, tried)
 }
 
-/// Plays fleets of so many relays; the partner's rate makes N small or large.
+/// Simulates fleets of these sizes; the partner's rate makes N small or large.
 fn fleets(senders: &[u32], rates: &[f64], seeds: std::ops::Range<u64>) {
     let mut table = Vec::new();
     for &relays in senders {
@@ -111,33 +113,34 @@
     table.sort_by(|a, b| b.0.total_cmp(&a.0));
     for (most, relays, rate, view, how, seed, n, tried) in table.iter().take(12) {
         println!(
-            "{most:.2} of the bound: {relays} relays, {rate} a second, {view:?}, {how:?}, seed {seed}, N {n:.1}, {tried} calls"
+            "{most:.2} of the bound: {relays} relays, {rate} per second, {view:?}, {how:?}, seed {seed}, N {n:.1}, {tried} calls"
         );
     }
     let tried: usize = table.iter().map(|t| t.7).sum();
-    assert!(tried > 5 * table.len(), "{tried} calls in {} plays", table.len());
+    assert!(tried > 5 * table.len(), "{tried} calls in {} simulations", table.len());
     assert!(table[0].0 <= 1.0, "{:?}", table[0]);
 }
 
 #[test]
-fn a_cold_partner_stands_what_two_and_three_relays_send() {
+fn two_and_three_relays_do_not_overload_a_cold_partner() {
     fleets(&[2, 3], &[1.6, 4.0, 20.0], 0..5);
 }
 
 #[test]
-fn a_cold_partner_stands_what_twenty_and_thirty_relays_send() {
+fn twenty_and_thirty_relays_do_not_overload_a_cold_partner() {
     fleets(&[20, 30], &[2.0, 16.0], 0..5);
 }
 
 #[test]
-fn a_cold_partner_stands_what_three_hundred_relays_send() {
+fn three_hundred_relays_do_not_overload_a_cold_partner() {
     fleets(&[300], &[30.0], 0..3);
 }
 
-/// Killed at the end of an outage, a fleet knows the partner's limit from before and uses its budget: all that is in the bound's
-/// expectation for the first 9 s is some 0.8 N a window. Without, the unknown limit is taken for that of the smallest partner.
+/// A fleet killed at the end of an outage keeps the partner's limit from before and uses its budget: the
+/// expectation over the first 9 s is about 0.8 N per window. Without it the unknown limit is assumed to be that of
+/// the smallest partner.
 #[test]
-fn a_fleet_that_begins_anew_uses_its_budget_of_a_cold_partner() {
+fn a_restarted_fleet_uses_its_budget_of_a_cold_partner() {
     let mut tried = 0;
     for (relays, seed) in [(20, 0), (20, 5), (30, 0), (30, 5), (50, 0)] {
         let (most, _, calls) =
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A bench of one controller for the tests: it keeps the clock and reads the actions.
+//! Test harness for one controller: drives its clock and filters its actions.
 #![allow(dead_code, missing_docs)]
 
 use onyxstile::Controller;
@@ -11,7 +11,8 @@
     Duration::from_millis(n)
 }
 
-/// Three classes (0 repeatable, 1 keyed and ordered, 2 once), two kinds (0 plain, 1 shared calls on routes apart).
+/// Three classes (0 repeatable, 1 keyed and ordered, 2 once), two kinds (0 plain, 1 shared calls on independent
+/// routes).
 pub fn settings() -> Settings {
     let class = |effect, ordered| ClassSettings {
         target_latency: ms(2000),
@@ -115,7 +116,7 @@
         self.outcome_with_limit(id, attempt, endpoint, outcome, None)
     }
 
-    /// An outcome whose answer tells of a limit, or not.
+    /// Reports an outcome with an optional limit report.
     pub fn outcome_with_limit(
         &mut self, id: MessageId, attempt: u32, endpoint: EndpointId, outcome: Outcome,
         limit: Option<LimitReport>,
@@ -133,7 +134,7 @@
         })])
     }
 
-    /// Lets time pass in ticks and gathers what is done meanwhile, with the clock of each action.
+    /// Advances the clock in ticks and returns the actions with their times.
     pub fn advance(&mut self, time: Duration) -> Vec<(Duration, Action)> {
         let end = self.now + time;
         let mut all = Vec::new();
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,4 @@
-//! One test for each failure found on the bench.
+//! One regression test for each failure found in simulation.
 #![allow(missing_docs)]
 mod common;
 use common::*;
@@ -8,7 +8,7 @@
     actions.iter().filter(|(_, a)| matches!(a, Action::Cancel { .. })).count()
 }
 
-/// Calls that are never answered: sends stop long before the first time-out.
+/// Calls that are never answered: no further sends, long before the first timeout.
 #[test]
 fn silence_holds_an_endpoint_before_the_time_out() {
     let mut harness = ControllerHarness::new(settings(), &[1]);
@@ -19,12 +19,12 @@
         let (_, actions) = harness.submit(2, None);
         sent += sends(&actions).len();
     }
-    assert_eq!(sent, 0, "one-try messages went into silence");
+    assert_eq!(sent, 0, "single-attempt messages were sent to a silent endpoint");
 }
 
-/// Silent calls must not hold every slot until their deadline.
+/// Silent calls must not occupy every slot until their deadline.
 #[test]
-fn silent_calls_give_their_slots_up() {
+fn silent_calls_release_their_slots() {
     let mut s = settings();
     s.max_calls = 2;
     let mut harness = ControllerHarness::new(s, &[1]);
@@ -43,20 +43,20 @@
     assert!(cancels(&later) >= 1 || timed_sends(&later).iter().any(|s| s.2 == EndpointId(5)));
 }
 
-/// A shut that tells its end: no rush at the opening, by any endpoint of the destination.
+/// A refusal with a stated wait: when it ends there is no burst, at any endpoint of the destination.
 #[test]
-fn the_end_of_a_told_shut_is_met_with_the_cold_budget() {
+fn calls_after_a_reported_wait_keep_to_the_cold_budget() {
     let mut harness = ControllerHarness::new(settings(), &[1, 2]);
     let (id, actions) = harness.submit(0, None);
     harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: Some(ms(6000)) });
     let orders: Vec<Event> = (0..10).map(|_| harness.new_message(0, None).1).collect();
     assert!(sends(&harness.step(orders)).is_empty());
     let opening = timed_sends(&harness.advance(ms(8000))).len();
-    assert!(opening <= 2, "{opening} calls at the opening, one for each endpoint at most");
-    assert!(!timed_sends(&harness.advance(ms(8000))).is_empty(), "never tried after the shut");
+    assert!(opening <= 2, "{opening} calls when the wait ended, one for each endpoint at most");
+    assert!(!timed_sends(&harness.advance(ms(8000))).is_empty(), "never tried after the wait");
 }
 
-/// Resets among successes are no outage.
+/// Resets between successes are not an outage.
 #[test]
 fn single_resets_do_not_close_an_endpoint() {
     let mut harness = ControllerHarness::new(settings(), &[1]);
@@ -69,9 +69,9 @@
     }
 }
 
-/// Where calls get lost beside answered ones, a message with one try goes elsewhere.
+/// Where some calls get lost and others are answered, a message with a single attempt is not sent.
 #[test]
-fn one_try_messages_avoid_an_endpoint_that_loses_calls() {
+fn single_attempt_messages_avoid_an_endpoint_that_loses_calls() {
     let mut harness = ControllerHarness::new(settings(), &[2]);
     for _ in 0..3 {
         let (lost, actions) = harness.submit(0, None);
@@ -86,14 +86,14 @@
     let (_, actions) = harness.submit(2, None);
     assert!(sends(&actions).is_empty(), "sent where half of the calls are lost");
     let (_, actions) = harness.submit(0, None);
-    assert_eq!(sends(&actions).len(), 1, "other messages still go");
+    assert_eq!(sends(&actions).len(), 1, "other messages are still sent");
 }
 
-/// Sixty senders are told the same shut: at its end they do not meet it in step, and together stay within the
-/// allowance of the cold destination, though each one's budget is under one call a span. An endpoint added
-/// during the shut is as cold as the others.
+/// Sixty senders receive the same wait: at its end they must not send in sync, and together stay within the budget
+/// of the cold destination, though the budget of each is below one call per overload span. An endpoint added during
+/// the wait is as cold as the others.
 #[test]
-fn a_fleet_meets_the_end_of_a_told_shut_within_the_allowance() {
+fn a_fleet_stays_within_the_allowance_after_a_reported_wait() {
     let mut s = settings();
     s.senders = 60;
     s.rate_source = RateSource::Nominal;
@@ -116,9 +116,9 @@
     assert!(calls.len() as f64 <= allowance, "{} calls in a span, {allowance} allowed", calls.len());
 }
 
-/// Sixty senders that refusals hold back still try a message within its life, and not all at once.
+/// Sixty senders held back by refusals still try a message before its deadline, and not all at once.
 #[test]
-fn a_refused_lone_message_is_tried_again_in_its_life_but_not_at_once() {
+fn a_refused_single_message_is_retried_before_its_deadline_but_not_at_once() {
     let mut s = settings();
     s.senders = 60;
     s.rate_source = RateSource::Nominal;
@@ -129,11 +129,11 @@
     }])]);
     let (id, actions) = harness.submit(0, None);
     harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: None });
-    assert!(timed_sends(&harness.advance(ms(1500))).is_empty(), "a retry at once feeds the overload");
+    assert!(timed_sends(&harness.advance(ms(1500))).is_empty(), "an immediate retry adds to the overload");
     assert!(!timed_sends(&harness.advance(ms(14_000))).is_empty(), "never tried again");
 }
 
-/// Refused connections beside served ones mean a full table: idle connections are given back.
+/// Refused connections between successful calls mean a full connection table: idle connections are released.
 #[test]
 fn idle_connections_are_released_where_connections_are_refused() {
     let released = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Release(_)));
@@ -141,7 +141,7 @@
     harness.advance(ms(20));
     let (id, actions) = harness.submit(0, None);
     let end = harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
-    assert!(released(&end), "a kind not known yet is spared");
+    assert!(released(&end), "a kind without a record releases idle connections");
     harness.advance(ms(11_000));
     let (id, actions) = harness.submit(0, None);
     let end = harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
@@ -152,14 +152,15 @@
     harness.advance(ms(1500));
     let (id, actions) = harness.submit(0, None);
     let end = harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
-    assert!(released(&end), "given back after a refused connection");
+    assert!(released(&end), "released after a refused connection");
 }
 
-/// A refusal tells of the limit where that is what refused; one that does not, on a fresh connection, means a full
-/// table. Guards the endpoints of a large fleet, which were full of connections that stood idle.
+/// Where answers report limits, a refusal on a fresh connection without a report means a full connection table. In
+/// a large fleet the endpoints' tables were full of idle connections.
 #[test]
-fn idle_connections_are_released_where_a_fresh_one_is_refused_with_no_word_of_the_limit() {
-    for (reports, says, expected) in [(true, false, true), (true, true, false), (false, false, false)] {
+fn idle_connections_are_released_after_a_refusal_without_a_limit_report() {
+    for (reports, with_report, expected) in [(true, false, true), (true, true, false), (false, false, false)]
+    {
         let mut harness = ControllerHarness::new(settings(), &[1]);
         let report = Some(LimitReport { left: 0.5, rate: 20.0 });
         let call = |harness: &mut ControllerHarness, outcome, limit: Option<LimitReport>| {
@@ -171,13 +172,13 @@
         };
         call(&mut harness, Outcome::Success, report.filter(|_| reports));
         assert!(!call(&mut harness, Outcome::Success, report.filter(|_| reports)), "kept at first");
-        call(&mut harness, Outcome::Overloaded { wait: None }, report.filter(|_| says));
+        call(&mut harness, Outcome::Overloaded { wait: None }, report.filter(|_| with_report));
         let released = call(&mut harness, Outcome::Success, report.filter(|_| reports));
-        assert_eq!(released, expected, "reports {reports}, this refusal {says}");
+        assert_eq!(released, expected, "reports {reports}, this refusal {with_report}");
     }
 }
 
-/// A message that is held is looked at before its time is up, however short the rest is.
+/// A held message is checked again before its deadline, however short the remaining time is.
 #[test]
 fn a_held_message_is_answered_in_its_time() {
     let mut harness = ControllerHarness::new(settings(), &[]);
@@ -190,7 +191,7 @@
             _ => None,
         });
         harness.now += after.expect("a held message needs a timer");
-        assert!(harness.now <= deadline, "woken too late");
+        assert!(harness.now <= deadline, "wake-up too late");
         wake = harness.step(vec![Event::Wake(0)]);
         if wake.contains(&Action::Refuse { id, wait: ms(2000) }) {
             break;
@@ -198,8 +199,8 @@
     }
 }
 
-/// A hang shows a sender among many a single refusal or time-out. An endpoint that is added then is as cold as
-/// the others, also where the list has dropped the one that failed.
+/// One sender among many sees a hang as a single refusal or timeout. An endpoint added then is as cold as the
+/// others, also if the list has dropped the one that failed.
 #[test]
 fn an_endpoint_added_after_the_last_call_of_its_destination_failed_is_cold() {
     for outcome in [Outcome::Overloaded { wait: None }, Outcome::TimedOut] {
@@ -214,15 +215,15 @@
             harness.step(vec![Event::ListUpdate(lines)]);
             let orders: Vec<Event> = (0..10).map(|_| harness.new_message(0, None).1).collect();
             let at_once = sends(&harness.step(orders)).iter().filter(|s| s.1 == EndpointId(2)).count();
-            assert_eq!(at_once, 0, "a rush on a new endpoint after {outcome:?}, old one gone: {gone}");
+            assert_eq!(at_once, 0, "a burst to a new endpoint after {outcome:?}, old one gone: {gone}");
         }
     }
 }
 
-/// Connections dropped unseen while idle: an overdue call on one that was idle tells of it and not of the
-/// endpoint, and from then on idle connections are closed before use, everywhere.
+/// Connections dropped silently while idle: an overdue call on an idle connection is evidence on the connection,
+/// not on the endpoint; from then on idle connections are closed before use, for every destination.
 #[test]
-fn an_overdue_call_on_an_idle_connection_puts_connections_in_doubt_and_not_the_endpoint() {
+fn an_overdue_call_on_an_idle_connection_marks_connections_as_suspected_not_the_endpoint() {
     let mut harness = ControllerHarness::new(settings(), &[1]);
     let other = DestinationId(8);
     harness.step(vec![Event::ListUpdate(vec![entry(5, other, 0, ListState::Live)])]);
@@ -233,7 +234,7 @@
         }
         (id, harness.step(vec![event]))
     };
-    // A kind not known yet is spared of idle connections; after that one is kept to each.
+    // Kinds without a record release idle connections at first; after that one per endpoint is kept.
     for wait in [ms(11_000), ms(4000)] {
         for destination in [DESTINATION, other] {
             let (id, actions) = to(&mut harness, destination);
@@ -242,29 +243,29 @@
         harness.advance(wait);
     }
     let (first, actions) = to(&mut harness, DESTINATION);
-    assert!(!actions.contains(&Action::Release(EndpointId(1))), "no doubt yet");
+    assert!(!actions.contains(&Action::Release(EndpointId(1))), "not suspected yet");
     harness.advance(ms(1100));
     let (second, actions) = to(&mut harness, DESTINATION);
     assert_eq!(sends(&actions), [(second, EndpointId(1))], "held as if the endpoint were silent");
     let (_, actions) = to(&mut harness, other);
     let at = actions.iter().position(|a| *a == Action::Release(EndpointId(5)));
     let sent = actions.iter().position(|a| matches!(a, Action::Send { .. }));
-    assert!(at.is_some() && at < sent, "an idle connection is used in doubt: {actions:?}");
-    // A fresh one is answered: the doubt was right, and the lost call is not waited for.
+    assert!(at.is_some() && at < sent, "a suspected idle connection is used: {actions:?}");
+    // A call on a fresh connection is answered: the suspicion was right, and the lost call is cancelled.
     let actions = harness.outcome(second, 0, EndpointId(1), Outcome::Success);
     assert!(actions.contains(&Action::Cancel { id: first, attempt: 0 }), "the lost call holds its slot");
     harness.outcome(first, 0, EndpointId(1), Outcome::Withdrawn);
-    // Without a second connection to tell by, silence is silence.
+    // Without a second connection to compare with, silence is evidence on the endpoint.
     let (_, actions) = to(&mut harness, DESTINATION);
     assert_eq!(sends(&actions).len(), 1);
     harness.advance(ms(1500));
     assert!(sends(&to(&mut harness, DESTINATION).1).is_empty(), "a silent endpoint is held");
 }
 
-/// A refused message goes again at its sender's part of the limit and never at once, however few are refused elsewhere: a
-/// call an aim of each of many senders is more than most limits hold.
+/// A refused message is sent again at its sender's part of the limit and never at once, however few calls are
+/// refused elsewhere: one call per latency target from each of many senders exceeds most limits.
 #[test]
-fn a_refused_message_goes_again_at_the_part_of_the_limit_whatever_is_refused_elsewhere() {
+fn a_refused_message_is_retried_at_the_sender_s_part_of_the_limit_whatever_is_refused_elsewhere() {
     let mut soon = Vec::new();
     for refused in [0, 60] {
         let mut s = settings();
@@ -273,7 +274,7 @@
         let mut harness = ControllerHarness::new(s, &[]);
         let listed =
             |id, destination| EndpointInfo { rate: 12.0, ..entry(id, destination, 0, ListState::Live) };
-        // What is seen at other destinations tells of the day.
+        // Outcomes at other destinations, as evidence on the general load.
         let other = |n: u32| DestinationId(100 + u64::from(n));
         let mut list: Vec<_> = (0..120).map(|n| listed(100 + n, other(n))).collect();
         list.push(listed(1, DESTINATION));
@@ -290,16 +291,16 @@
         }
         let (id, actions) = harness.submit(0, None);
         harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: None });
-        assert!(timed_sends(&harness.advance(ms(450))).is_empty(), "a retry at once feeds the overload");
+        assert!(timed_sends(&harness.advance(ms(450))).is_empty(), "an immediate retry adds to the overload");
         soon.push(timed_sends(&harness.advance(ms(4000))).len());
     }
     assert_eq!(soon, [0, 0]);
 }
 
-/// Where many first sends are refused everywhere, one refusal is enough for the next first send to wait: what
-/// comes above a limit that refused calls use up keeps it used up.
+/// Where many first sends are refused everywhere, a single refusal delays the next first send: calls above a limit
+/// that refused calls count against keep it exhausted.
 #[test]
-fn on_a_day_that_refuses_many_one_refusal_holds_the_next_first_send() {
+fn where_many_are_refused_one_refusal_delays_the_next_first_send() {
     let mut s = settings();
     s.senders = 60;
     s.rate_source = RateSource::Nominal;
@@ -311,13 +312,13 @@
     let (id, actions) = harness.submit(0, None);
     harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: None });
     let (_, actions) = harness.submit(0, None);
-    assert!(sends(&actions).is_empty(), "nothing is known of the day: as if it refused many");
+    assert!(sends(&actions).is_empty(), "without information on the load, as if many were refused");
 }
 
-/// Answers that get lost at every endpoint fill all slots with calls that never end: those far over the usual
-/// time make room, long before half of the aim is over.
+/// Answers lost at every endpoint fill all slots with calls that never end: those far above the usual latency are
+/// cancelled, long before half of the latency target has passed.
 #[test]
-fn where_answers_get_lost_slots_go_to_messages_that_wait() {
+fn where_answers_get_lost_slots_are_freed_for_waiting_messages() {
     let mut s = settings();
     s.max_calls = 4;
     let mut harness = ControllerHarness::new(s, &[1, 2]);
@@ -332,9 +333,9 @@
     assert!(cancelled >= 1, "{cancelled} of {} given up", lost.len());
 }
 
-/// A message that may go again is tried again within its aim when its answer is lost.
+/// A repeatable message whose answer is lost is tried again within its latency target.
 #[test]
-fn a_call_that_may_be_repeated_times_out_within_the_aim() {
+fn a_repeatable_call_times_out_within_the_latency_target() {
     let mut harness = ControllerHarness::new(settings(), &[1]);
     let (_, actions) = harness.submit(0, None);
     let limit =
@@ -342,9 +343,9 @@
     assert!(actions.iter().any(limit), "{actions:?}");
 }
 
-/// Endpoints that come and go all day leave nothing behind.
+/// Endpoints that come and go leave no state behind.
 #[test]
-fn an_endpoint_long_gone_is_forgotten() {
+fn the_state_of_an_endpoint_long_gone_is_removed() {
     let mut harness = ControllerHarness::new(settings(), &[1]);
     let (id, actions) = harness.submit(2, None);
     harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
@@ -360,9 +361,9 @@
     assert_eq!(sends(&harness.submit(2, None).1)[0].1, EndpointId(5));
 }
 
-/// Calls given up early for their slots tell of a hang all the same: nothing more with one try goes there.
+/// Calls cancelled early for their slots still reveal a hang: no further single-attempt message goes there.
 #[test]
-fn calls_given_up_for_their_slots_make_a_silent_endpoint_suspect() {
+fn calls_cancelled_for_their_slots_mark_a_silent_endpoint_as_suspected() {
     let mut s = settings();
     (s.max_calls, s.probes) = (4, true);
     let mut harness = ControllerHarness::new(s, &[1]);
@@ -387,9 +388,9 @@
     assert!(timed_sends(&later).is_empty(), "{later:?}");
 }
 
-/// A hung endpoint may answer probes: a probe lets one message try, and not all that wait.
+/// A hung endpoint may answer probes: a probe admits one message as a trial, not all that wait.
 #[test]
-fn an_answered_probe_lets_one_message_try() {
+fn an_answered_probe_admits_one_message() {
     let mut s = settings();
     s.probes = true;
     let mut harness = ControllerHarness::new(s, &[1]);
@@ -405,17 +406,17 @@
     let first = probed(&mut harness);
     assert_eq!(first.len(), 1, "{first:?}");
     assert!(timed_sends(&harness.advance(ms(500))).is_empty());
-    // Its answer is what shows that the endpoint serves.
+    // Only its answer shows that the endpoint serves again.
     assert_eq!(sends(&harness.outcome(first[0].0, 0, EndpointId(1), Outcome::Success)).len(), 5);
 }
 
-/// Connections that were gone before the call tell nothing of the endpoint.
+/// Connections that were closed before the call are no evidence on the endpoint.
 #[test]
 fn breaks_at_once_on_idle_connections_do_not_close_an_endpoint() {
     let mut harness = ControllerHarness::new(settings(), &[1]);
     let (id, actions) = harness.submit(2, None);
     harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Success);
-    // Until then idle connections of a kind not known yet are given back.
+    // Before that, idle connections of kinds without a record are released.
     harness.advance(ms(11_000));
     for _ in 0..6 {
         for outcome in [Outcome::Success, Outcome::Broken] {
@@ -429,10 +430,10 @@
     }
 }
 
-/// An endpoint that answers again after an outage: a message with one try does not wait for its time to run out
-/// because of what failed before.
+/// An endpoint answers again after an outage: a single-attempt message must not wait until its deadline because of
+/// earlier failures.
 #[test]
-fn a_one_try_message_goes_to_an_endpoint_that_is_back() {
+fn a_single_attempt_message_is_sent_to_a_recovered_endpoint() {
     let mut harness = ControllerHarness::new(settings(), &[1]);
     let (id, actions) = harness.submit(0, None);
     let mut sent = sends(&actions);
@@ -443,18 +444,18 @@
             sent = timed_sends(&harness.advance(ms(100))).iter().map(|s| (s.1, s.2)).collect();
         }
     }
-    // Held to be down: its next trial is answered.
+    // The endpoint counts as down: its next trial is answered.
     harness.outcome(id, 4, sent[0].1, Outcome::Success);
     let (id, actions) = harness.submit(2, None);
     let later = harness.advance(ms(4000));
     let gone = sends(&actions).iter().any(|s| s.0 == id) || timed_sends(&later).iter().any(|s| s.1 == id);
-    assert!(gone, "held for what failed before the endpoint was back");
+    assert!(gone, "held because of failures before the endpoint recovered");
 }
 
-/// A route apart that is told to wait, goes from the list and comes back has its wait still, however short the time
-/// that a cold start takes. It was forgotten with all else that was known of what is gone.
+/// An independent route that has reported a wait, leaves the list and returns must still observe the wait, however
+/// short the cold time is. The wait was dropped with the other state of endpoints that are gone.
 #[test]
-fn a_wait_outlives_its_route_s_absence_from_the_list() {
+fn a_wait_persists_while_its_route_is_absent_from_the_list() {
     let mut harness =
         ControllerHarness::new(Settings { cold_time: ms(0), overload_span: ms(100), ..settings() }, &[]);
     let route = |state| vec![Event::ListUpdate(vec![entry(1, DESTINATION, 1, state)])];
@@ -463,7 +464,7 @@
     harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Overloaded { wait: Some(ms(3000)) });
     harness.step(route(ListState::Gone));
     harness.advance(ms(500));
-    // Any news of the list lets go of what is long gone.
+    // Any list update removes endpoints that are long gone.
     harness.step(vec![Event::ListUpdate(vec![])]);
     let back =
         sends(&harness.step(route(ListState::Live))).len() + timed_sends(&harness.advance(ms(2400))).len();
@@ -471,10 +472,10 @@
     assert!(!timed_sends(&harness.advance(ms(6000))).is_empty(), "never sent again");
 }
 
-/// A destination that gets once-only messages alone: after some that failed nothing else shows whether it serves
-/// again. They were held until their last moment; to wait so long is to give up without saying so.
+/// A destination that receives only once-only messages: after some failures nothing else shows whether it serves
+/// again. They were held until shortly before their deadline, and so failed without an attempt.
 #[test]
-fn once_only_messages_find_out_by_themselves_whether_a_destination_serves_again() {
+fn once_only_messages_detect_the_recovery_of_a_destination() {
     for (probes, outcome) in [
         (true, Outcome::Failure),
         (true, Outcome::Unreachable),
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,10 +1,10 @@
-//! The size of the decision module: it is to be ported by hand.
+//! Size limits of the decision module, which is to be ported by hand.
 #![allow(missing_docs)]
 
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// The files that deploy/balancer.toml names as the module's.
+/// The files of the module as listed in deploy/balancer.toml.
 fn policy() -> Vec<String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).unwrap();
@@ -18,7 +18,7 @@
     let texts: Vec<String> =
         policy().iter().map(|file| std::fs::read_to_string(root.join(file)).unwrap()).collect();
     let lines = texts.iter().flat_map(|t| t.lines()).filter(|l| !l.trim().is_empty()).count();
-    assert!((900..=1010).contains(&lines), "{lines} lines that are not blank");
+    assert!((900..=1010).contains(&lines), "{lines} non-blank lines");
     let long = |l: &&str| l.chars().count() > 110;
     let long: Vec<_> = texts.iter().flat_map(|t| t.lines()).filter(long).collect();
     assert!(long.is_empty(), "over 110 characters: {long:?}");
@@ -26,7 +26,7 @@
     assert!(texts[0].lines().take(5).any(|l| l.contains("src/api.rs")), "the top names the interface file");
 }
 
-/// Every file of the module is named, but for its tests and what only shows it.
+/// Every file of the module is listed, except its tests and its read-only views.
 #[test]
 fn the_deploy_file_names_all_of_the_module() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
--- a/tests/property/legal.rs
+++ b/tests/property/legal.rs
@@ -1,4 +1,4 @@
-//! Random legal sequences against the module alone.
+//! Random valid event sequences against the module alone.
 
 use crate::common::*;
 use onyxstile::api::*;
@@ -34,11 +34,11 @@
     out: Vec<(MessageId, u32, EndpointId, Duration, Duration)>,
     live: BTreeSet<u32>,
     waits: BTreeMap<EndpointId, Duration>,
-    rests: BTreeMap<u64, (Duration, MessageId)>,
+    cooldowns: BTreeMap<u64, (Duration, MessageId)>,
     down: BTreeMap<EndpointId, (u32, Vec<Duration>)>,
 }
 
-/// Endpoints 1 to 3 are one destination, 4 to 6 routes apart of another.
+/// Endpoints 1 to 3 belong to one destination, 4 to 6 are independent routes of another.
 pub fn destination_of(e: u32) -> (DestinationId, usize) {
     if e <= 3 { (DestinationId(7), 0) } else { (DestinationId(8), 1) }
 }
@@ -57,30 +57,33 @@
                     };
                     assert!(!earlier_of_key, "order: {id:?}");
                     let m = self.messages.get_mut(id).unwrap();
-                    assert!(!m.ended && m.out.is_none(), "sent after its end or twice at once: {id:?}");
+                    assert!(!m.ended && m.out.is_none(), "sent after its end or while in flight: {id:?}");
                     assert!(
                         m.attempts < settings.max_attempts && now < m.deadline && *give_up_at <= m.deadline
                     );
                     assert!(self.live.contains(&endpoint.0), "sent to an endpoint not listed");
-                    assert!(self.waits.get(endpoint).is_none_or(|model| now >= *model), "sent within a wait");
-                    let rest = m.key.and_then(|k| self.rests.get(&k));
-                    assert!(rest.is_none_or(|(until, by)| by == id || now >= *until), "key not rested");
+                    assert!(self.waits.get(endpoint).is_none_or(|until| now >= *until), "sent within a wait");
+                    let cooldown = m.key.and_then(|k| self.cooldowns.get(&k));
+                    assert!(
+                        cooldown.is_none_or(|(until, by)| by == id || now >= *until),
+                        "key still in its cooldown"
+                    );
                     match (m.risk, m.class) {
-                        (Some(_), 2) => panic!("one try only, sent twice"),
+                        (Some(_), 2) => panic!("single-attempt message sent twice"),
                         (Some(t), 1) => assert!(now < t + ms(15_000), "outside the window"),
                         _ => {}
                     }
                     m.attempts += 1;
                     m.out = Some((*endpoint, now));
                     self.out.push((*id, m.attempts - 1, *endpoint, now, *give_up_at));
-                    // After refused connections alone nothing is known of capacity: single calls only.
+                    // After refused connections alone nothing is known of the capacity: single calls only.
                     if let Some((run, sent)) = self.down.get_mut(endpoint)
                         && *run >= 2
                         && destination_of(endpoint.0).1 == 0
                     {
                         sent.push(now);
                         let recent = sent.iter().filter(|t| **t + ms(450) > now).count();
-                        assert!(recent <= 1, "an endpoint that is down got {recent} calls at once");
+                        assert!(recent <= 1, "an endpoint that is down received {recent} calls at once");
                     }
                 }
                 Action::Refuse { id, .. } => {
@@ -113,7 +116,7 @@
         harness.now += ms(5 * (1 + u64::from(b) % 40));
         let now = harness.now;
         let mut events = Vec::new();
-        // Every attempt ends by its time-out.
+        // Every attempt ends by its timeout.
         let expired: Vec<usize> = (0..model.out.len()).filter(|i| model.out[*i].4 <= now).collect();
         let mut ends: Vec<(usize, Outcome)> = expired.iter().map(|i| (*i, Outcome::TimedOut)).collect();
         match what % 8 {
@@ -177,13 +180,13 @@
             if matches!(outcome, Outcome::TimedOut | Outcome::Broken)
                 && let Some(k) = m.key
             {
-                model.rests.insert(k, (now + ms(300), id));
+                model.cooldowns.insert(k, (now + ms(300), id));
             }
             if let Outcome::Overloaded { wait: Some(wait) } = outcome {
                 for e in (1..=6).filter(|e| *e == endpoint.0 || (endpoint.0 <= 3 && *e <= 3)) {
                     let until = model.waits.entry(EndpointId(e)).or_default();
                     *until = (*until).max(now + wait);
-                    // From its end on the whole destination is known to be coming back.
+                    // When the wait ends, the whole destination counts as returning.
                     model.down.entry(EndpointId(e)).or_default().0 = 0;
                 }
             }
@@ -206,7 +209,7 @@
 }
 
 #[test]
-fn random_legal_sequences_keep_the_rules() {
+fn random_valid_sequences_keep_the_rules() {
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let script = proptest::collection::vec(any::<(u8, u8, u8)>(), 50..400);
--- a/tests/property/returns.rs
+++ b/tests/property/returns.rs
@@ -1,4 +1,4 @@
-//! Cold returns: what a fleet sends to a partner that is back.
+//! Cold returns: the load that a fleet sends to a partner after an outage.
 
 use crate::cluster::rng::TestRng;
 use crate::cluster::{self, Fleet, Partner, START};
@@ -7,40 +7,40 @@
 use onyxstile::api::*;
 use std::collections::BTreeMap;
 
-/// A partner goes away in one of five ways under load and comes back cold: in no window of the rule's length do
-/// the relays that saw it fail send more than it stands, though all have messages waiting.
+/// A partner under load has an outage of one of five kinds and returns cold: in no window of the rule's length may
+/// the relays that saw it fail send more than its allowance, though all have messages waiting.
 #[test]
-fn no_partner_that_returns_cold_is_pushed_over() {
-    // Beyond that lies the one below.
+fn no_partner_that_returns_cold_is_overloaded() {
+    // Seed 789, beyond this range, has its own test below.
     returns(0..runs(120).min(700), &[1, 2, 3], 2.5);
 }
 
-/// The smallest partner, three relays and two servers, errors: it once got a call too many.
+/// The smallest partner, three relays, two servers and errors: a case that exceeded the bound by one call.
 #[test]
-fn the_smallest_partner_gets_no_call_too_many() {
+fn the_smallest_partner_is_not_overloaded() {
     returns(789..790, &[1, 2, 3], 2.5);
 }
 
-/// The same with many relays, each with a message now and then, after silence and after told waits.
+/// The same with many relays, each with occasional messages, after silence and after stated waits.
 #[test]
-fn no_partner_that_returns_cold_to_many_relays_is_pushed_over() {
+fn no_partner_that_returns_cold_to_many_relays_is_overloaded() {
     for seed in [1, 3, 6, 8] {
         returns(seed..seed + 1, &[60], 8.0);
         returns(seed..seed + 1, &[300], 30.0);
     }
 }
 
-/// Of 300 relays each sees one refused connection, at one of two servers, long before the return: the clock of the ramp
-/// begins with what is heard after it.
+/// Each of 300 relays sees one refused connection, at one of two servers, long before the return: the ramp must
+/// start with what is observed after the return.
 #[test]
 fn many_relays_that_saw_one_connection_refused_stay_within_the_bound() {
     returns(0..1, &[300], 30.0);
     returns(0..1, &[60], 8.0);
 }
 
-/// A shut that tells nothing looks like a limit to a relay that saw one refusal.
+/// An outage reported by refusals without a wait looks like a rate limit to a relay that saw one refusal.
 #[test]
-fn many_relays_that_saw_one_untold_refusal_stay_within_the_bound() {
+fn many_relays_that_saw_one_refusal_without_a_wait_stay_within_the_bound() {
     returns(2..3, &[300], 30.0);
 }
 
@@ -70,7 +70,7 @@
         *most = most.max(over);
         tried += fleet.partner.by_second(back, 16).iter().sum::<usize>();
         delivered += fleet.delivered;
-        assert!(over <= 1.0, "{how:?}, {senders} senders, {rate} a second: {over:.2} of what it stands");
+        assert!(over <= 1.0, "{how:?}, {senders} senders, {rate} per second: {over:.2} of the allowance");
     }
     println!("cold: {runs} runs, {tried} calls after returns, worst windows {worst:?}");
     assert!(tried as u64 > 20 * runs && delivered as u64 > 30 * runs, "{tried} calls, {delivered} delivered");
--- a/tests/property/simulation/checks.rs
+++ b/tests/property/simulation/checks.rs
@@ -1,19 +1,19 @@
-//! Kills, steps, and what each effect has to keep to.
+//! Kills, steps, and the checks of each effect.
 
 use super::*;
 
 impl Simulation {
-    /// The process dies in the middle of a step, and another begins some time later.
+    /// The process dies in the middle of a step; the next one starts some time later.
     pub(super) fn kill(&mut self) {
         let how = match self.rng.below(3) {
             0 => Kill::Unwritten,
             1 => Kill::Torn(1 + self.rng.below(60)),
             _ => Kill::Written,
         };
-        self.observe("killed with calls out", !self.out.is_empty());
+        self.observe("killed with calls in flight", !self.out.is_empty());
         self.observe("killed with a torn journal", matches!(how, Kill::Torn(_)));
         self.step(Some(how));
-        // Its connections break with it: what was out may have run.
+        // Its connections break with it: calls in flight may have run.
         for o in std::mem::take(&mut self.out) {
             let f = self.flows.get_mut(&o.flow).unwrap();
             (f.out, f.risk) = (None, f.risk.or(Some((o.sent, o.server))));
@@ -26,19 +26,19 @@
             self.listed.iter().filter(|(_, l)| l.1 != ListState::Gone).map(|(s, l)| (s.0, *l)).collect();
         let list = list.into_iter().map(|(s, l)| self.entry(s, l.0, l.1)).collect();
         self.relay.restart(list, self.now);
-        // What the journal has is promised; what it has no word of any more never was, or is over.
+        // Flows in the journal must be completed; flows without a record were never accepted, or have ended.
         let ledger = self.relay.journal.ledger();
-        let (open, told): (Vec<_>, Vec<_>) =
+        let (open, notified): (Vec<_>, Vec<_>) =
             (ledger.open.keys().copied().collect(), ledger.owed.keys().copied().collect());
         let mut lost = vec![];
         for (no, f) in &mut self.flows {
-            f.taken |= open.contains(no);
+            f.accepted |= open.contains(no);
             f.survived |= open.contains(no);
-            // That it was called off was not written down: it goes on.
+            // The cancellation was not written: the flow continues.
             f.over &= !open.contains(no);
             if !open.contains(no) && !f.over {
-                // Told by what is owed; or delivered in the step that died; or never taken.
-                let accounted = told.contains(no) || f.risk.is_some() || !f.taken;
+                // Ended by a pending notice, delivered in the step that died, or never accepted.
+                let accounted = notified.contains(no) || f.risk.is_some() || !f.accepted;
                 if !accounted {
                     lost.push(*no);
                 }
@@ -47,7 +47,7 @@
         }
         self.check(Rule::OneAnswer, lost.is_empty(), || format!("{lost:?} lost in a kill"));
         let due = self.flows.values().filter(|f| !f.over && f.deadline < self.now).count();
-        self.observe("time up while no process ran", due > 0);
+        self.observe("deadline passed while no process ran", due > 0);
         self.killed = true;
         self.step(None);
     }
@@ -58,15 +58,15 @@
             match effect {
                 RelayEffect::Accepted(no, _) => {
                     let f = self.flows.get_mut(&no).unwrap();
-                    assert!(!f.taken && !f.over, "taken twice: {no:?}");
-                    f.taken = true;
+                    assert!(!f.accepted && !f.over, "accepted twice: {no:?}");
+                    f.accepted = true;
                 }
-                RelayEffect::Rejected(no, ..) => self.answered(no, false, "turned down"),
+                RelayEffect::Rejected(no, ..) => self.answered(no, false, "rejected"),
                 RelayEffect::Ended(no, _, how) => {
                     let returned = matches!(how, End::Returned(_));
                     let what = match how {
                         End::Delivered => "delivered",
-                        End::Returned(_) => "handed back",
+                        End::Returned(_) => "refused",
                         _ => "failed",
                     };
                     self.answered(no, returned, what);
@@ -80,7 +80,7 @@
                 RelayEffect::StopCall(flow, attempt) => {
                     let at = self.out.iter().position(|o| (o.flow, o.attempt) == (flow, attempt));
                     if let Some(n) = at {
-                        self.observe("a call called off for its slot", true);
+                        self.observe("a call cancelled for its slot", true);
                         self.end(n, Outcome::Withdrawn);
                     }
                 }
@@ -97,7 +97,7 @@
         let late: Vec<_> = self
             .flows
             .iter()
-            .filter(|(_, f)| f.taken && !f.over && self.now > f.deadline + ms(20))
+            .filter(|(_, f)| f.accepted && !f.over && self.now > f.deadline + ms(20))
             .map(|(no, _)| *no)
             .collect();
         self.check(Rule::OneAnswer, late.is_empty(), || format!("{late:?} without an answer in time"));
@@ -111,9 +111,7 @@
         let keyed_to_all =
             matches!(self.settings.classes[1].effect, Effect::Keyed { group: RepeatGroup::All, .. });
         let harmless = risk.is_none() || class == 0 || class == 1 && keyed_to_all;
-        self.check(Rule::Bounds, !returned || harmless, || {
-            format!("{no:?} may have run and was handed back")
-        });
+        self.check(Rule::Bounds, !returned || harmless, || format!("{no:?} may have run and was refused"));
         self.observe(what, true);
         self.observe(
             "given up at once, as it may have run",
@@ -122,7 +120,7 @@
         self.observe("ended after a kill", self.killed);
     }
 
-    /// Whatever goes to a real server: drains and waits are kept.
+    /// Checks that a send to a real server respects drains and waits.
     pub(super) fn sent_to(&mut self, server: ServerNo) {
         let listed = self.listed.get(&server).is_some_and(|l| l.1 == ListState::Live);
         self.check(Rule::Drains, listed, || format!("{server:?} was sent to, and is not listed"));
@@ -135,7 +133,7 @@
         self.observe("sent soon after a wait", ended);
         let now = self.now;
         let elsewhere = self.waits.iter().any(|(b, until)| *b != its && now < *until);
-        self.observe("sent while others are waited for", elsewhere);
+        self.observe("sent during a wait of others", elsewhere);
     }
 
     pub(super) fn call(&mut self, flow: FlowNo, attempt: u32, server: ServerNo, give_up_at: Duration) {
@@ -143,13 +141,11 @@
         let f = &self.flows[&flow];
         let (class, risk, calls) = (f.class, f.risk, f.calls);
         let s = &self.settings;
-        let open = f.taken && !f.over && self.now < f.deadline && give_up_at <= f.deadline;
-        self.check(Rule::OneAnswer, open, || {
-            format!("{flow:?} was sent when it was over, or beyond its time")
-        });
-        self.check(Rule::SideBySide, f.out.is_none(), || format!("{flow:?} is out twice"));
+        let open = f.accepted && !f.over && self.now < f.deadline && give_up_at <= f.deadline;
+        self.check(Rule::OneAnswer, open, || format!("{flow:?} was sent after its end or its deadline"));
+        self.check(Rule::Concurrency, f.out.is_none(), || format!("{flow:?} is in flight twice"));
         self.check(Rule::Drains, self.listed[&server].0 == f.to, || {
-            format!("{flow:?} went to another's server")
+            format!("{flow:?} was sent to a server of another destination")
         });
         let zone = |s: ServerNo| s.0 % 2;
         let allowed = match (risk, s.classes[class].effect) {
@@ -168,7 +164,7 @@
         self.check(Rule::Bounds, allowed && calls < most, || {
             format!("{flow:?} sent again: {calls} calls, {risk:?}")
         });
-        self.observe("once: resent after proof that it never ran", class == 2 && calls > 0);
+        self.observe("once: resent after proof that it was not executed", class == 2 && calls > 0);
         self.observe("keyed: resent within its window", class == 1 && risk.is_some());
         self.observe("repeatable: resent though it may have run", class == 0 && risk.is_some());
         self.observe("resent", calls > 0);
--- a/tests/property/simulation/events.rs
+++ b/tests/property/simulation/events.rs
@@ -1,4 +1,4 @@
-//! What happens: clients, ends of calls, lists and waits.
+//! Random events: clients, ends of calls, lists and waits.
 
 use super::*;
 
@@ -11,9 +11,11 @@
             let remaining = if self.rng.percent(10) { ms(self.rng.below(30)) } else { remaining };
             if let Some(no) = self.relay.submit(class, to, now + remaining, now) {
                 let deadline = now + remaining;
-                let (taken, out, calls, risk, over, survived) = (false, None, 0, None, false, false);
-                self.flows
-                    .insert(no, TrackedFlow { class, to, deadline, taken, out, calls, risk, over, survived });
+                let (accepted, out, calls, risk, over, survived) = (false, None, 0, None, false, false);
+                self.flows.insert(
+                    no,
+                    TrackedFlow { class, to, deadline, accepted, out, calls, risk, over, survived },
+                );
             }
         }
         for _ in 0..self.rng.below(4).min(self.out.len() as u64) {
@@ -24,7 +26,7 @@
         }
         for server in std::mem::take(&mut self.probes) {
             let outcome = self.answer(server).unwrap_or(Outcome::TimedOut);
-            // A wait that a probe is told binds as any.
+            // A wait reported to a probe applies like any other.
             let to = self.listed[&server].0;
             self.record_wait(server, to, outcome);
             self.relay.core.probe_ended(server, outcome, None);
@@ -50,55 +52,55 @@
                 );
                 let mut update = vec![self.entry(server, server_destination(server).0, state)];
                 if self.rng.percent(20) {
-                    // A list that contradicts itself: its last word holds.
+                    // A list with contradictory entries: the last one applies.
                     let other = self.rng.pick(&[ListState::Live, ListState::Draining]);
                     update.push(self.entry(server, server_destination(server).0, other));
                 }
                 self.list(update, false);
             }
             4 => {
-                // The one that is alone, or one of three, belongs to somebody else now.
+                // A server, alone or one of three, moves to another destination.
                 let (server, to) = (self.rng.pick(&[3, 7]), self.rng.pick(&[ALL[0], ALL[2]]));
                 let moved = self.entry(server, to, ListState::Live);
                 self.list(vec![moved], false);
             }
             5 => {
                 let kept: Vec<u32> = (1..=SERVERS).filter(|_| self.rng.percent(80)).collect();
-                let whole = kept
+                let complete = kept
                     .into_iter()
                     .map(|s| self.entry(s, server_destination(s).0, ListState::Live))
                     .collect();
-                self.list(whole, true);
+                self.list(complete, true);
             }
             6 => {
                 let open: Vec<FlowNo> =
-                    self.flows.iter().filter(|(_, f)| f.taken && !f.over).map(|(no, _)| *no).collect();
+                    self.flows.iter().filter(|(_, f)| f.accepted && !f.over).map(|(no, _)| *no).collect();
                 if let Some(no) = open.get(self.rng.below(open.len() as u64) as usize).copied() {
                     let flow = self.flows.get_mut(&no).unwrap();
                     flow.over = true;
                     let out = flow.out.is_some();
-                    self.observe(if out { "called off in flight" } else { "called off while held" }, true);
+                    self.observe(if out { "cancelled in flight" } else { "cancelled while held" }, true);
                     self.relay.cancel(no);
                 }
             }
             7 | 8 if !self.ended.is_empty() => {
-                // Late and doubled: what was heard already comes again.
+                // Late and duplicate: an end that was already reported arrives again.
                 let out = |e: &CallEnd| self.flows.get(&e.flow).is_some_and(|f| f.out.is_some());
                 let old: Vec<CallEnd> = self.ended.iter().copied().filter(out).collect();
                 let newer = !old.is_empty();
                 let again = self.rng.pick(if newer { &old } else { &self.ended });
-                self.observe("an old end while another attempt is out", newer);
-                self.observe("a doubled end", true);
+                self.observe("an old end while another attempt is in flight", newer);
+                self.observe("a duplicate end", true);
                 self.relay.core.call_ended(again);
             }
             9 => {
-                let open = self.flows.iter().filter(|(_, f)| f.taken && !f.over).map(|(no, _)| no.0);
+                let open = self.flows.iter().filter(|(_, f)| f.accepted && !f.over).map(|(no, _)| no.0);
                 let known: Vec<u64> = open.chain([1 << 40]).collect();
                 let flow = self.rng.pick(&known);
                 let outcome =
                     self.rng.pick(&[Outcome::Failure, Outcome::TimedOut, Outcome::Overloaded { wait: None }]);
-                let open = self.flows.get(&FlowNo(flow)).is_some_and(|f| f.taken && !f.over);
-                self.observe("an unknown end of an open flow", open);
+                let open = self.flows.get(&FlowNo(flow)).is_some_and(|f| f.accepted && !f.over);
+                self.observe("an end of an unknown attempt of an open flow", open);
                 self.relay.core.call_ended(cluster::end(FlowNo(flow), 77, ServerNo(99), outcome, ms(1)));
             }
             10 if self.rng.percent(50) => return self.kill(),
@@ -110,7 +112,7 @@
                 let began = self.banned.insert(server) || !self.banned.remove(&server);
                 if let Some((to, state)) = listed.filter(|l| l.1 != ListState::Gone) {
                     self.observe(
-                        "banned with a call out",
+                        "banned with a call in flight",
                         began && self.out.iter().any(|o| o.server.0 == server),
                     );
                     let state = if state == ListState::Draining && !began { ListState::Live } else { state };
@@ -122,23 +124,23 @@
                 self.step(None);
                 let upgraded = self.relay.upgrade();
                 self.observe("upgraded", upgraded);
-                self.observe("upgraded with calls out", upgraded && !self.out.is_empty());
+                self.observe("upgraded with calls in flight", upgraded && !self.out.is_empty());
                 self.observe(
                     "upgraded within a wait",
                     upgraded && self.waits.values().any(|w| *w > self.now),
                 );
                 let held = self.listed.iter().any(|(s, l)| {
                     self.banned.contains(&s.0)
-                        && self.flows.values().any(|f| f.taken && !f.over && f.to == l.0)
+                        && self.flows.values().any(|f| f.accepted && !f.over && f.to == l.0)
                 });
-                self.observe("upgraded with messages for one that is banned", upgraded && held);
+                self.observe("upgraded with messages for a banned server", upgraded && held);
             }
             _ => {}
         }
         self.step(None);
     }
 
-    /// What a real server says now, if anything.
+    /// The response of a real server at this time, if any.
     pub(super) fn answer(&mut self, server: ServerNo) -> Option<Outcome> {
         let outage = self.listed.get(&server).and_then(|l| self.outages[&l.0]);
         match outage {
@@ -147,7 +149,7 @@
                 let errors = [Outcome::Failure, Outcome::Broken, Outcome::Overloaded { wait: None }];
                 Some(self.rng.pick(&errors))
             }
-            Some((away, wait)) => away.outcome(ms(wait)),
+            Some((kind, wait)) => kind.outcome(ms(wait)),
         }
     }
 
@@ -155,8 +157,8 @@
         let Outcome::Overloaded { wait: Some(wait) } = outcome else { return };
         let until = self.waits.entry(limiter_of(server, to)).or_default();
         *until = (*until).max(self.now + wait);
-        let others = self.flows.values().any(|f| f.taken && !f.over && f.out.is_none() && f.to == to);
-        self.observe("a wait told while others wait", others);
+        let others = self.flows.values().any(|f| f.accepted && !f.over && f.out.is_none() && f.to == to);
+        self.observe("a wait reported while others wait", others);
     }
 
     pub(super) fn end(&mut self, n: usize, outcome: Outcome) {
--- a/tests/property/simulation/mod.rs
+++ b/tests/property/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A play of hostile events against module, core and journal, through kills.
+//! Simulation of adverse events against module, core and journal, with process kills.
 
 mod checks;
 mod events;
@@ -12,23 +12,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The rules of the brief that a play is watched for; the cold partner has plays of its own.
+/// The rules checked by a simulation; cold returns have tests of their own.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Rule {
     OneAnswer,
     Bounds,
-    SideBySide,
+    Concurrency,
     Drains,
     Waits,
 }
 
-/// A flow as the world knows it.
+/// Expected state of a flow.
 struct TrackedFlow {
     class: usize,
     to: DestinationId,
     deadline: Duration,
-    /// It is known to be held: it was promised, or is in the journal.
-    taken: bool,
+    /// Known to be held: it was accepted, or is in the journal.
+    accepted: bool,
     out: Option<u32>,
     calls: u32,
     /// The first call that may have run.
@@ -38,7 +38,7 @@
     survived: bool,
 }
 
-/// What a told wait binds: a destination, or a route where they are apart.
+/// Scope of a wait: a destination, or one independent route.
 type LimiterId = (DestinationId, Option<ServerNo>);
 
 fn limiter_of(server: ServerNo, to: DestinationId) -> LimiterId {
@@ -53,7 +53,7 @@
     give_up_at: Duration,
 }
 
-/// Plays random events against one relay and keeps an account of what it may do.
+/// Applies random events to one relay and tracks what it may do.
 pub struct Simulation {
     rule: Rule,
     rng: TestRng,
@@ -62,12 +62,12 @@
     now: Duration,
     flows: BTreeMap<FlowNo, TrackedFlow>,
     out: Vec<Out>,
-    /// What each real server was last said to be, and until when waits were told.
+    /// Last reported state of each real server, and end of the reported waits.
     listed: BTreeMap<ServerNo, (DestinationId, ListState)>,
     waits: BTreeMap<LimiterId, Duration>,
-    /// How a partner is away at the moment, and the wait that it tells, in ms.
+    /// Current outage of each partner, and the wait that it reports, in ms.
     outages: BTreeMap<DestinationId, Option<(OutageKind, u64)>>,
-    /// Banned by operators, whatever lists say.
+    /// Banned by operators, regardless of lists.
     banned: BTreeSet<u32>,
     probes: Vec<ServerNo>,
     ended: Vec<CallEnd>,
@@ -78,7 +78,7 @@
 const SERVERS: u32 = 7;
 const ALL: [DestinationId; 3] = [DestinationId(7), DestinationId(8), DestinationId(9)];
 
-/// Servers 1 to 3 are one destination, 4 to 6 routes apart of another, 7 is alone at first.
+/// Servers 1 to 3 belong to one destination, 4 to 6 are independent routes of another, 7 is alone at first.
 fn server_destination(server: u32) -> (DestinationId, usize) {
     if server == 7 { (ALL[2], 0) } else { destination_of(server) }
 }
@@ -105,7 +105,7 @@
     pub fn run(rule: Rule, seed: u64) -> BTreeMap<&'static str, u64> {
         let mut rng = TestRng::new(seed);
         let settings = random_settings(&mut rng);
-        // The small journal is full at times, and rewritten often.
+        // The small journal is sometimes full, and rewritten often.
         let limit = rng.pick(&[60_000, 1 << 20]);
         let relay = Relay::new(&settings, seed, limit, START);
         let mut simulation = Simulation {
@@ -125,14 +125,14 @@
             killed: false,
             seen: BTreeMap::new(),
         };
-        let whole =
+        let complete =
             (1..=SERVERS).map(|s| simulation.entry(s, server_destination(s).0, ListState::Live)).collect();
-        simulation.list(whole, true);
+        simulation.list(complete, true);
         for _ in 0..150 {
             simulation.advance();
             simulation.events();
         }
-        // Whatever is left ends by itself.
+        // All remaining flows must end by themselves.
         let over = simulation.now + ms(9500);
         while simulation.now < over {
             simulation.advance();
@@ -169,14 +169,14 @@
             let waiting = self.flows.values().any(|f| !f.over && f.out.is_none() && f.to == e.destination);
             self.observe("drained with messages waiting", e.state != ListState::Live && waiting);
             let calls = self.out.iter().any(|o| o.server == e.id);
-            self.observe("gone with a call out", e.state == ListState::Gone && calls);
+            self.observe("gone with a call in flight", e.state == ListState::Gone && calls);
             let old = self.listed.insert(e.id, (e.destination, e.state));
             self.observe("moved to another destination", old.is_some_and(|l| l.0 != e.destination));
         }
         self.relay.core.update_entries(entries, all);
     }
 
-    /// Time goes on to the next event: timers fire and calls time out at their own moments.
+    /// Advances to the next event; timers fire and calls time out at their exact times.
     pub fn advance(&mut self) {
         let until = self.now + ms(1 + self.rng.below(160));
         loop {
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! A destination is back, many messages wait, and their timers fall due together: the first seconds, one by one.
-//! `cargo test --test recovery -- --nocapture` prints the table of docs/hardening-review.md.
+//! A destination returns while many messages wait and their timers are due together: load in each of the first
+//! seconds. `cargo test --test recovery -- --nocapture` prints the table of docs/hardening-review.md.
 #![allow(missing_docs)]
 mod cluster;
 mod common;
@@ -11,7 +11,7 @@
 const RATE: f64 = 4.0;
 const PENDING: usize = 40;
 
-/// Calls in each of the first seconds after the return; delivered and failed in the end.
+/// Calls in each of the first seconds after the return; final counts of delivered and failed messages.
 struct Row {
     what: String,
     calls: Vec<usize>,
@@ -31,15 +31,16 @@
     }
 }
 
-/// `senders` relays with some traffic; the partner is away for 8 s, in which each relay gathers what waits.
+/// `senders` relays with some traffic; the partner is unavailable for 8 s, in which messages accumulate at each
+/// relay.
 fn outage(how: OutageKind, senders: u32, kill: bool) -> Row {
     let s = relays(senders);
     let (from, back) = (START + ms(6000), START + ms(14_000));
     let mut fleet = Fleet::new(&s, Partner::new(RATE, &s, (from, back, how)), 2, 1);
     let mut n = 0;
     fleet.advance(ms(14_000), &mut |f| {
-        let away = f.now >= from && f.now < from + ms(3000);
-        let each = if away { 3000 / (5 * PENDING as u64) } else { 80 * u64::from(senders) };
+        let in_outage = f.now >= from && f.now < from + ms(3000);
+        let each = if in_outage { 3000 / (5 * PENDING as u64) } else { 80 * u64::from(senders) };
         n += 1;
         if n % each.max(1) == 0 {
             (0..senders as usize).for_each(|r| {
@@ -62,11 +63,11 @@
     Row { what, calls, worst: fleet.partner.worst(s), delivered: fleet.delivered, failed: fleet.failed }
 }
 
-/// Nothing was away: the relays die with a full journal and come back, or short waits end together.
+/// Without an outage: the relays die with a full journal and restart, or short waits end together.
 fn warm(senders: u32, kill: bool) -> Row {
     let s = Settings { start_capacity: 1.0, cold_time: ms(1), ..relays(senders) };
     let how = if kill { OutageKind::ConnectionRefused } else { OutageKind::OverloadedWithWait };
-    // Short enough that nobody takes it for an outage.
+    // Short enough not to count as an outage.
     let (from, back) = (START + ms(4000), START + ms(4000) + if kill { ms(1) } else { ms(1500) });
     let mut fleet = Fleet::new(&s, Partner::new(RATE, &s, (from, back, how)), 2, 1);
     fleet.advance(ms(3000), &mut |f| {
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn the_first_seconds_after_a_return_stay_within_what_the_destination_stands() {
+fn the_load_in_the_first_seconds_after_a_return_stays_within_the_allowance() {
     println!(
         "| what, relays, messages that wait | takes in 1st, 8th s | calls in each second | worst | delivered | failed |"
     );
@@ -127,10 +128,10 @@
             for kill in [false, true] {
                 let r = outage(how, senders, kill);
                 show(&r, "0.7, 2.5");
-                // A fleet that was killed knows nothing of the outage; it may scatter a little more.
+                // Killed relays have no record of the outage and may exceed the bound slightly.
                 let most = if kill { 1.25 } else { 1.0 };
-                assert!(r.worst <= most, "{}: {:.2} of what it stands", r.what, r.worst);
-                assert!(r.calls.iter().sum::<usize>() > 0, "{}: nobody tried", r.what);
+                assert!(r.worst <= most, "{}: {:.2} of the allowance", r.what, r.worst);
+                assert!(r.calls.iter().sum::<usize>() > 0, "{}: no call was made", r.what);
             }
         }
     }
@@ -138,7 +139,7 @@
         for kill in [false, true] {
             let r = warm(senders, kill);
             show(&r, "4, 4");
-            assert!(r.worst <= 3.0, "{}: {:.2} of what it takes in the first second", r.what, r.worst);
+            assert!(r.worst <= 3.0, "{}: {:.2} of its capacity in the first second", r.what, r.worst);
         }
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each of the six rules, on the module alone.
+//! Tests of each of the six rules, on the module alone.
 #![allow(missing_docs)]
 mod common;
 use common::*;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_message_with_one_try_is_failed_when_it_may_have_run_and_retried_when_it_did_not() {
+fn a_single_attempt_message_fails_if_it_may_have_run_and_is_retried_if_it_did_not() {
     let mut harness = ControllerHarness::new(settings(), &[1]);
     let (id, actions) = harness.submit(2, None);
     let actions = harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Broken);
@@ -32,8 +32,8 @@
 
 #[test]
 fn a_keyed_message_is_not_resent_outside_its_window() {
-    // Its first timer fires a moment after the window, or well within it. Whether a connection that takes its time comes up
-    // after it is seen to where it is written (net::upstream::tests::late).
+    // Its first timer fires just after the window, or well within it. The case of a connection that is established
+    // only after the window is checked where the call is written (net::upstream::tests::late).
     let mut again = Vec::new();
     for window in [ms(400), ms(500), ms(505), ms(1000)] {
         let mut s = settings();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_draining_or_missing_endpoint_gets_nothing_more() {
+fn a_draining_or_missing_endpoint_receives_no_more_calls() {
     let mut harness = ControllerHarness::new(settings(), &[1, 2]);
     harness.step(vec![Event::ListUpdate(vec![entry(2, DESTINATION, 0, ListState::Draining)])]);
     for _ in 0..6 {
@@ -76,7 +76,7 @@
     harness.step(vec![Event::ListReplaced(vec![])]);
     let (_, actions) = harness.submit(0, None);
     assert!(sends(&actions).is_empty());
-    // Held ones go out as soon as the destination has an endpoint again.
+    // Held messages are sent as soon as the destination has an endpoint again.
     let actions = harness.step(vec![Event::ListReplaced(vec![entry(3, DESTINATION, 0, ListState::Live)])]);
     assert_eq!(sends(&actions)[0].1, EndpointId(3));
 }
@@ -89,8 +89,8 @@
         harness.outcome(id, 0, sends(&actions)[0].1, Outcome::Unreachable);
     }
     let orders: Vec<Event> = (0..20).map(|_| harness.new_message(0, None).1).collect();
-    assert!(sends(&harness.step(orders)).is_empty(), "sent to an endpoint judged down");
-    // With no rate known a destination is taken to serve a call in the first timer; two senders share it.
+    assert!(sends(&harness.step(orders)).is_empty(), "sent to an endpoint that is down");
+    // With no known rate a destination is assumed to serve one call per first timer; two senders share it.
     let trial = timed_sends(&harness.advance(ms(5000)));
     assert!((1..=2).contains(&trial.len()), "trials are single calls with a pause: {trial:?}");
     let trial = trial[trial.len() - 1..].to_vec();
@@ -98,12 +98,12 @@
     let actions = harness.outcome(trial[0].1, 1, trial[0].2, Outcome::Success);
     let at_once = sends(&actions).len();
     let within = timed_sends(&harness.advance(ms(10_000))).len();
-    assert_eq!(at_once, 0, "no rush at the first success");
+    assert_eq!(at_once, 0, "no burst after the first success");
     assert!((2..=8).contains(&within), "{within} calls to a cold endpoint in ten seconds");
 }
 
 #[test]
-fn messages_of_one_key_take_turns_and_rest() {
+fn messages_of_one_key_are_sent_in_order_with_a_cooldown() {
     let mut s = settings();
     s.key_cooldown = ms(400);
     let mut harness = ControllerHarness::new(s, &[1]);
@@ -111,7 +111,7 @@
     let endpoint = sends(&actions)[0].1;
     let (second, actions) = harness.submit(1, Some(9));
     assert!(sends(&actions).is_empty());
-    // The first is withdrawn, but its attempt is still out.
+    // The first is withdrawn, but its attempt is still in flight.
     assert!(sends(&harness.step(vec![Event::Withdrawn(first)])).is_empty());
     assert!(sends(&harness.outcome(first, 0, endpoint, Outcome::Broken)).is_empty());
     let start = harness.now;
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_told_wait_binds_every_endpoint_of_the_destination() {
+fn a_reported_wait_applies_to_every_endpoint_of_the_destination() {
     let mut harness = ControllerHarness::new(settings(), &[1, 2]);
     let (id, actions) = harness.submit(0, None);
     let wait = Some(ms(1500));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_wait_told_to_one_message_of_a_shared_call_is_heeded_at_once() {
+fn a_wait_reported_to_one_message_of_a_shared_call_applies_at_once() {
     let mut harness = ControllerHarness::new(settings(), &[]);
     harness.step(vec![Event::ListReplaced(vec![entry(1, DESTINATION, 1, ListState::Live)])]);
     let orders: Vec<Event> = (0..3).map(|_| harness.new_message(0, None).1).collect();
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_route_apart_waits_alone() {
+fn an_independent_route_waits_alone() {
     let mut harness = ControllerHarness::new(settings(), &[]);
     let routes = vec![entry(1, DESTINATION, 1, ListState::Live), entry(2, DESTINATION, 1, ListState::Live)];
     harness.step(vec![Event::ListReplaced(routes)]);
@@ -153,15 +153,15 @@
     let first = sends(&actions)[0].1;
     harness.outcome(id, 0, first, Outcome::Overloaded { wait: Some(ms(800)) });
     let (next, _) = harness.submit(0, None);
-    // Under a limit it waits a little for company, but not for the other route's wait to end.
+    // Under a limit it waits briefly to share a call, but not until the other route's wait ends.
     let later = timed_sends(&harness.advance(ms(400)));
     assert!(later.iter().any(|s| s.1 == next) && later.iter().all(|s| s.2 != first), "{later:?}");
 }
 
-/// A directory that fails ten times: an idle sender asks again by itself, never in a burst, and never leaves so
-/// long a pause that it counts as told of a drain that it cannot know.
+/// After ten failed list requests an idle sender still requests the list again by itself, never in a burst, and
+/// never after so long a pause that it counts as having received a drain that it has no record of.
 #[test]
-fn a_list_that_cannot_be_had_is_asked_for_again_in_time() {
+fn an_unavailable_list_is_requested_again_in_time() {
     let mut harness = ControllerHarness::new(Settings { ask_for_list: true, ..settings() }, &[1]);
     harness.advance(ms(20));
     let mut asked = Vec::new();
@@ -177,24 +177,26 @@
                 Action::Wake { after, .. } => Some(*after),
                 _ => None,
             });
-            harness.now += after.expect("an idle sender sets a timer to ask again");
+            harness.now += after.expect("an idle sender sets a timer to request the list again");
             wake = harness.step(vec![Event::Wake(0)]);
         }
         asked.push(harness.now - from);
     }
     assert!(asked.iter().all(|p| *p < ms(10_000)), "{asked:?}");
-    assert!(asked[0] >= ms(100) && asked[5] >= ms(2000), "asked again in a burst: {asked:?}");
-    // A restart with a stale list: the answer replaces it, and no message goes where it does not name.
+    assert!(asked[0] >= ms(100) && asked[5] >= ms(2000), "requested again in a burst: {asked:?}");
+    // A restart with a stale list: the answer replaces it, and no message goes to an endpoint that it does not
+    // contain.
     let actions = harness.step(vec![Event::ListReplaced(vec![entry(2, DESTINATION, 0, ListState::Live)])]);
     assert!(!actions.contains(&Action::Subscribe));
     let (_, actions) = harness.submit(0, None);
     assert_eq!(sends(&actions)[0].1, EndpointId(2));
 }
 
-/// A relay comes back with a journal that is nearly full, and its clients go on: they are turned away before what was taken on
-/// already and not tried yet. Given up over half of it with no call, a day of restarts fails.
+/// A relay restarts with a nearly full journal while clients go on submitting: new messages are refused before
+/// accepted ones that were not tried yet. Otherwise over half of the accepted ones were given up without a call,
+/// which fails a day with restarts.
 #[test]
-fn what_a_restart_found_untried_is_tried_though_room_runs_short() {
+fn untried_messages_from_before_a_restart_are_tried_when_capacity_runs_short() {
     let mut harness = ControllerHarness::new(settings(), &[1, 2]);
     let found: Vec<_> = (0..90)
         .map(|n| {
@@ -206,9 +208,10 @@
         .collect();
     let ids: Vec<_> = found.iter().map(|f| f.0).collect();
     let mut seen = harness.step(found.into_iter().map(|f| f.1).collect());
-    // For 2 s a hundred a second come, worth more, as they have more of their time; calls end after 300 ms.
+    // For 2 s, a hundred messages per second arrive, of higher utility as they have more time left; calls take 300
+    // ms.
     let mut out: Vec<(Duration, MessageId, EndpointId)> = Vec::new();
-    let (mut tried, mut given_up, mut away) = (Vec::new(), 0, 0);
+    let (mut tried, mut given_up, mut rejected) = (Vec::new(), 0, 0);
     for n in 0..2300 {
         harness.now += ms(5);
         let mut events = vec![Event::Wake(0)];
@@ -230,13 +233,13 @@
                     tried.push(id);
                 }
                 Action::Refuse { id, .. } | Action::Fail(id) if ids.contains(&id) => given_up += 1,
-                Action::Refuse { .. } => away += 1,
+                Action::Refuse { .. } => rejected += 1,
                 _ => {}
             }
         }
     }
     let of_them = ids.iter().filter(|id| tried.contains(id)).count();
-    assert!(away > 50, "room did not run short: {away} turned away");
-    assert_eq!(given_up, 0, "given up with no call");
+    assert!(rejected > 50, "capacity did not run short: {rejected} refused");
+    assert_eq!(given_up, 0, "given up without a call");
     assert!(of_them >= 80, "{of_them} of 90 were tried");
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The built adapter, spoken to on its own wire.
+//! Tests of the built adapter over its wire protocol.
 #![allow(missing_docs)]
 
 use std::io::Write;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_message_is_sent_and_an_instance_can_start_anew_in_one_batch() {
+fn a_message_is_sent_and_an_instance_can_restart_in_one_batch() {
     let order = "order 77 note - - 9000.0 - 3 0\n";
     let input = format!("frame 100.25\n{}{order}crash_now\n{}{order}over_to_you\n", start(3), start(3));
     let (out, err, ok) = talk(&input);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn all_events_of_the_wire_are_read() {
+fn all_events_of_the_protocol_are_read() {
     let rest = "whisper 2 6869\nfirst 77 0 10.0.0.1:80 3.5\nwake 5\naborted 4\nannounce unavailable - 3\nprobed 10.0.0.1:80 success 4.5 x0:0.5,x1:3,rif:2\nresult 77 0 10.0.0.1:80 overloaded 18.5 0 250.5 -\nresult 123 4 10.0.0.9:80 void 0 1 1 -\n";
     let input = format!(
         "frame 0\n{}order 77 note - - 9000 12.5 3 21\nover_to_you\nframe 5\non 3\n{rest}over_to_you\n",
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn malformed_lines_are_named() {
+fn malformed_lines_are_reported_with_line_and_field() {
     let cases = [
         ("frame x\n", "line 1: field clock"),
         ("hello\n", "line 1: field message name"),
