--- a/crates/onyxstile-system/src/controller.rs
+++ b/crates/onyxstile-system/src/controller.rs
@@ -33,7 +33,7 @@
 use crate::control::{
     ControlState, Durable, ElectorId, Incarnation, Message, Operation, Outcome, Token, Write,
 };
-use crate::tolerance::{Place, Tolerance};
+use crate::tolerance::{Location, Tolerance};
 
 /// A write that its successor has not acknowledged goes again after this time.
 const RESEND_INTERVAL: Duration = Duration::from_millis(150);
@@ -125,7 +125,7 @@
     }
 
     /// The same controller on a machine that stands at `place`.
-    pub fn with_location(mut self, location: Place) -> Controller {
+    pub fn with_location(mut self, location: Location) -> Controller {
         self.locations.insert(self.id.ip, location);
         self
     }
--- a/crates/onyxstile-system/src/controller/membership.rs
+++ b/crates/onyxstile-system/src/controller/membership.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use crate::control::{ElectorId, View};
-use crate::tolerance::{Place, Tolerance};
+use crate::tolerance::{Location, Tolerance};
 
 /// Where each core machine stands that was ever heard of; one that wasn't counts as a zone and region of no name.
-pub type Locations = BTreeMap<[u8; 4], Place>;
+pub type Locations = BTreeMap<[u8; 4], Location>;
 
 /// The electors and the chain that a next view should have; `None` if this view is to stay or too few are alive.
 ///
@@ -58,15 +58,15 @@
 }
 
 fn keeps_majority(electors: &[ElectorId], tolerance: Tolerance, locations: &Locations) -> bool {
-    let unknown = Place::default();
-    let elector_locations: Vec<&Place> =
+    let unknown = Location::default();
+    let elector_locations: Vec<&Location> =
         electors.iter().map(|id| locations.get(&id.ip).unwrap_or(&unknown)).collect();
     tolerance.keeps_majority(&elector_locations)
 }
 
 /// The last elector of the zone with the most of them; where regions may be lost, of the region with the most first.
 fn index_in_largest_domain(electors: &[ElectorId], tolerance: Tolerance, locations: &Locations) -> usize {
-    let unknown = Place::default();
+    let unknown = Location::default();
     let location = |id: &ElectorId| locations.get(&id.ip).unwrap_or(&unknown);
     let domain_sizes = |id: &ElectorId| {
         let here = location(id);
--- a/crates/onyxstile-system/src/role/proxy/admit.rs
+++ b/crates/onyxstile-system/src/role/proxy/admit.rs
@@ -5,8 +5,8 @@
 
 use super::Proxy;
 use super::call::Call;
-use crate::admission::Applicant;
-use crate::balance::{EndpointKey, Expected};
+use crate::admission::AdmissionRequest;
+use crate::balance::{EndpointKey, PendingStream};
 
 impl Proxy {
     /// When the client of a stream that goes on from nothing may come back, if no program may begin now with it.
@@ -15,15 +15,15 @@
             return None;
         }
         let name = call.turn.as_ref().map_or(call.id.as_str(), |turn| turn.program.as_str());
-        let applicant = Applicant { name, priority: call.route.priority, left_ms: call.finish_ms };
-        self.endpoints.borrow_mut().refuse(self.clock.now(), &call.service, applicant)
+        let request = AdmissionRequest { name, priority: call.route.priority, remaining_ms: call.finish_ms };
+        self.endpoints.borrow_mut().check_admission(self.clock.now(), &call.service, request)
     }
 }
 
 /// A first event that is waited for; dropped, it is no more.
 pub(super) struct PendingFirstEvent {
     proxy: Rc<Proxy>,
-    expected: Option<Expected>,
+    expected: Option<PendingStream>,
 }
 
 impl PendingFirstEvent {
@@ -38,7 +38,7 @@
     /// It has come.
     pub(super) fn mark_received(&self) {
         if let Some(expected) = &self.expected {
-            self.proxy.endpoints.borrow_mut().stream_began(self.proxy.clock.now(), expected);
+            self.proxy.endpoints.borrow_mut().stream_started(self.proxy.clock.now(), expected);
         }
     }
 }
@@ -46,7 +46,7 @@
 impl Drop for PendingFirstEvent {
     fn drop(&mut self) {
         if let Some(expected) = &self.expected {
-            self.proxy.endpoints.borrow_mut().stream_not_awaited(expected);
+            self.proxy.endpoints.borrow_mut().stream_wait_ended(expected);
         }
     }
 }
--- a/crates/onyxstile-system/src/role/proxy/attempt.rs
+++ b/crates/onyxstile-system/src/role/proxy/attempt.rs
@@ -126,7 +126,7 @@
         if let Some(load) = header_text(&head.headers, "server-load").and_then(Load::parse)
             && let Some(endpoint) = self.endpoints.borrow_mut().get_mut(key)
         {
-            endpoint.tell(self.clock.now(), load);
+            endpoint.note_load(self.clock.now(), load);
         }
         // An answer to another request of an earlier call: nothing on this connection can be trusted.
         if header_text(&head.headers, "request-id").is_some_and(|id| id != call.id) {
@@ -181,7 +181,7 @@
         let mut endpoints = self.endpoints.borrow_mut();
         let Some(endpoint) = endpoints.get_mut(key) else { return };
         match attempt {
-            Attempt::Complete(head, _) if head.status.is_server_error() => endpoint.erred(now),
+            Attempt::Complete(head, _) if head.status.is_server_error() => endpoint.failed_with_error(now),
             Attempt::Complete(..) | Attempt::Streaming(_) => endpoint.succeeded(now, Some(now.since(began))),
             Attempt::NotExecuted => {}
             Attempt::NotSent => {
--- a/crates/onyxstile-system/src/role/proxy/relay_stream.rs
+++ b/crates/onyxstile-system/src/role/proxy/relay_stream.rs
@@ -14,7 +14,7 @@
 use super::client_response::{Chunk, ClientResponse, ResponseBody, copy_head};
 use super::conversation::Claim;
 use super::phase::OpenRequest;
-use crate::balance::EVENTS_NOTED;
+use crate::balance::EVENTS_PER_SAMPLE;
 use crate::clock::Instant;
 use crate::sse::{Event, Splitter};
 
@@ -123,7 +123,7 @@
         let mut next = std::mem::take(&mut self.stream.first);
         loop {
             let events = splitter.push(&next);
-            if splitter.is_overfull() {
+            if splitter.is_over_limit() {
                 return StreamEnd::Interrupted;
             }
             forwarded.events += events.iter().filter(|event| event.data.is_some()).count() as u32;
@@ -150,11 +150,11 @@
     /// Notes how fast events come, some at a time.
     fn note_progress(&self, events: u32, mark: &mut ProgressMark) {
         let count = events - mark.events;
-        if count >= EVENTS_NOTED
+        if count >= EVENTS_PER_SAMPLE
             && let Some(key) = self.call_sender.attempted.last()
         {
             let now = self.proxy.clock.now();
-            self.proxy.endpoints.borrow_mut().stream_went_on(now, *key, count, now.since(mark.at));
+            self.proxy.endpoints.borrow_mut().stream_progressed(now, *key, count, now.since(mark.at));
             *mark = ProgressMark { events, at: now };
         }
     }
--- a/crates/onyxstile-system/tests/support/control_simulation/faults.rs
+++ b/crates/onyxstile-system/tests/support/control_simulation/faults.rs
@@ -89,12 +89,12 @@
     /// Disks count as lost until all machines have been up and in touch for the time that a return takes.
     pub(super) fn update_lost_disks(&mut self) {
         let now = self.now;
-        let is_in_touch = |machine: &Machine| {
+        let is_reachable = |machine: &Machine| {
             machine.is_gone
                 || (machine.down_until.is_none()
                     && machine.frozen_until.max(machine.cut_until).max(machine.inbound_blocked_until) <= now)
         };
-        if self.split.1 > now || !self.machines.values().all(is_in_touch) {
+        if self.split.1 > now || !self.machines.values().all(is_reachable) {
             self.connected_since = now;
         } else if now >= self.connected_since + CATCH_UP {
             self.machines.values_mut().for_each(|machine| machine.is_disk_lost = false);
--- a/crates/onyxstile-system/tests/tier_histories.rs
+++ b/crates/onyxstile-system/tests/tier_histories.rs
@@ -4,12 +4,12 @@
 mod support;
 
 use support::control_simulation::CATCH_UP;
-use support::store_world::StoreFlaw;
+use support::store_world::StoreFault;
 use support::tier_simulation::{COPIES_ONE_IN, TierSimulation};
 use support::variable;
 
 /// One history; what the checkers found, or `Err` where service does not return.
-fn run_history(seed: u64, flaw: StoreFlaw) -> (TierSimulation, Result<(), String>) {
+fn run_history(seed: u64, flaw: StoreFault) -> (TierSimulation, Result<(), String>) {
     let stores = 3 + (seed % 3) as u8;
     let mut tier = TierSimulation::new(stores, seed, flaw);
     tier.run(1500);
@@ -73,7 +73,7 @@
         0 => tier.kill_store(store, time),
         1 => tier.stores.get_mut(&store).expect("a machine").frozen_until = until,
         2 => tier.stores.get_mut(&store).expect("a machine").cut_until = until,
-        3 => tier.stores.get_mut(&store).expect("a machine").dark_until = until,
+        3 => tier.stores.get_mut(&store).expect("a machine").isolated_until = until,
         4..=6 if may_lose => tier.wipe_store(store, time),
         7 if may_lose => tier.replace_store(store),
         8 => {
@@ -111,7 +111,7 @@
 /// Turns run while one machine is away; others follow on them.
 fn store_turns_without(tier: &mut TierSimulation, away: std::net::Ipv4Addr) {
     let until = tier.now() + 700;
-    tier.stores.get_mut(&away).expect("a machine").dark_until = until;
+    tier.stores.get_mut(&away).expect("a machine").isolated_until = until;
     for _ in 0..6 {
         tier.store_turn();
         tier.claim_turn();
@@ -137,7 +137,7 @@
     store_turns_without(tier, members[0]);
     if tier.disks_lost() < 1 {
         let until = tier.now() + 20_000;
-        tier.stores.get_mut(&members[1]).expect("a machine").dark_until = until;
+        tier.stores.get_mut(&members[1]).expect("a machine").isolated_until = until;
         tier.wipe_store(members[2], 100);
     }
     read_and_claim_turns(tier);
@@ -187,7 +187,7 @@
     let first = variable("FIRST", 0);
     let mut seen = std::collections::BTreeMap::new();
     for seed in first..first + variable("HISTORIES", 20) {
-        let (tier, returned) = run_history(seed, StoreFlaw::None);
+        let (tier, returned) = run_history(seed, StoreFault::None);
         assert!(tier.violations.is_empty(), "seed {seed}: {:?}", tier.violations);
         assert!(returned.is_ok(), "seed {seed}: turns are not kept, or a change does not end\n{returned:?}");
         for (what, count) in tier.event_counts {
@@ -206,7 +206,7 @@
     }
 }
 
-fn is_flaw_caught(flaw: StoreFlaw) -> bool {
+fn is_flaw_caught(flaw: StoreFault) -> bool {
     let caught = (0..400).find(|seed| !run_history(*seed, flaw).0.violations.is_empty());
     println!("{flaw:?}: caught by seed {caught:?}");
     caught.is_some()
@@ -214,27 +214,27 @@
 
 #[test]
 fn the_checkers_catch_a_copy_that_time_makes() {
-    assert!(is_flaw_caught(StoreFlaw::Patience));
+    assert!(is_flaw_caught(StoreFault::Timeout));
 }
 
 #[test]
 fn the_checkers_catch_a_machine_that_answers_before_it_has_copied() {
-    assert!(is_flaw_caught(StoreFlaw::AnswersWhileEmpty));
+    assert!(is_flaw_caught(StoreFault::AnswersWhileEmpty));
 }
 
 #[test]
 fn the_checkers_catch_a_change_that_ends_before_the_copies_are_made() {
-    assert!(is_flaw_caught(StoreFlaw::EndsAtOnce));
+    assert!(is_flaw_caught(StoreFault::EndsAtOnce));
 }
 
 /// By argument first: a machine that was restarted knew no plan and let relays that were behind write and look where nobody
 /// looks any more.
 #[test]
 fn the_checkers_catch_a_machine_that_forgets_which_plans_it_has_gone_by() {
-    assert!(is_flaw_caught(StoreFlaw::ForgetsEpoch));
+    assert!(is_flaw_caught(StoreFault::ForgetsEpoch));
 }
 
 #[test]
 fn the_checkers_catch_newcomers_that_wait_for_each_other() {
-    assert!((0..200).any(|seed| run_history(seed, StoreFlaw::WaitsForNewcomers).1.is_err()));
+    assert!((0..200).any(|seed| run_history(seed, StoreFault::WaitsForNewcomers).1.is_err()));
 }
