--- a/crates/onyxstile-system/tests/answer_cut.rs
+++ b/crates/onyxstile-system/tests/answer_cut.rs
@@ -19,7 +19,7 @@
 use support::standalone_proxy::{
     AFTER_SHUTDOWN, LARGE_BODY, StandaloneProxy, UNTIL_LISTENER_CLOSE, configuration, terminate,
 };
-use support::tier::{Tier, play};
+use support::tier::{Tier, run_test};
 use support::virtual_time::{VirtualTime, run_ready_tasks};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -75,7 +75,7 @@
 
 #[test]
 fn response_is_complete_when_draining_with_a_long_unread_second_request() {
-    play(async {
+    run_test(async {
         assert_eq!(response_before_a_second_request(100_000, true).await, (Some(200), RESPONSE_BYTES));
     });
 }
@@ -83,7 +83,7 @@
 /// The second is over the limit of bodies, and the connection closes after its refusal.
 #[test]
 fn response_is_complete_before_a_refused_request_with_an_unread_body() {
-    play(async {
+    run_test(async {
         let (status, length) = response_before_a_second_request(100_000, false).await;
         assert_eq!(status, Some(200));
         assert!(
@@ -97,7 +97,7 @@
 /// before the drain and could not say that the connection closes behind it.
 #[test]
 fn pipelined_request_is_answered_after_a_response_begun_before_the_drain() {
-    play(async {
+    run_test(async {
         let mut pending = PendingRequest::with_response_of(LARGE_BODY).await;
         pending.endpoint.may_respond.send_replace(true);
         pending.client.write_all(&request("r2", 4)).await.expect("it is sent");
@@ -129,7 +129,7 @@
 
 #[test]
 fn refusal_is_complete_while_refused_bytes_are_still_arriving() {
-    play(async {
+    run_test(async {
         let tier = Tier::start("refused-bytes", &configuration(), &[]).await;
         let endless_head = [b"GET /r/x HTTP/1.1\r\nX: ".to_vec(), vec![b'a'; OVERSIZED_BYTES]].concat();
         let no_route = b"POST /none HTTP/1.1\r\nHost: b.example\r\nContent-Length: 12000000\r\n\r\n";
@@ -154,7 +154,7 @@
 /// Nobody waits for ever for a client that does not close: the process ends.
 #[test]
 fn client_that_never_closes_does_not_block_the_drain_indefinitely() {
-    play(async {
+    run_test(async {
         let time = VirtualTime::stop();
         let (_endpoint, address) = GatedEndpoint::listen(b"").await;
         let proxies = StandaloneProxy::start(1, &configuration(), address).await;
--- a/crates/onyxstile-system/tests/bad_clients.rs
+++ b/crates/onyxstile-system/tests/bad_clients.rs
@@ -8,7 +8,7 @@
 
 use onyxstile_system::clock::Instant;
 use onyxstile_system::connection_watchdog::{ConnectionTimeouts, ConnectionWatchdog, Overdue};
-use support::tier::{Tier, ask, play};
+use support::tier::{Tier, run_test, send_request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -40,12 +40,12 @@
 /// Whether a client that behaves is answered: there is no endpoint, so it is asked to come back.
 async fn is_served(front: SocketAddrV4) -> bool {
     let headers = [("request-id", "good"), ("deadline-ms", "300")];
-    ask(front, "GET", "/r/x", &headers, "").await.is_some_and(|answer| answer.status == 503)
+    send_request(front, "GET", "/r/x", &headers, "").await.is_some_and(|answer| answer.status == 503)
 }
 
 #[test]
 fn malformed_requests_get_a_4xx_response_or_a_close() {
-    play(async {
+    run_test(async {
         let tier = Tier::start("no-request", &configuration(), &[]).await;
         let head = "POST /r/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: x\r\nDeadline-Ms: 300\r\n";
         let endless = format!("GET /r/x HTTP/1.1\r\nX: {}", "a".repeat(200_000));
@@ -80,7 +80,7 @@
 
 #[test]
 fn silent_connections_do_not_block_other_clients_and_are_closed() {
-    play(async {
+    run_test(async {
         let tier = Tier::start("silent", &configuration(), &[]).await;
         let mut silent = Vec::new();
         for _ in 0..300 {
--- a/crates/onyxstile-system/tests/bad_endpoints.rs
+++ b/crates/onyxstile-system/tests/bad_endpoints.rs
@@ -12,7 +12,7 @@
 
 use socket2::SockRef;
 use support::listener::{field, listen, read_head};
-use support::tier::{Answer, LIMITS, Tier, ask, play};
+use support::tier::{Answer, LIMITS, Tier, run_test, send_request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -189,14 +189,14 @@
         self.last.set(self.last.get() + 1);
         let id = format!("r{}", self.last.get());
         let headers = [("request-id", id.as_str()), ("deadline-ms", "2500")];
-        let answer = ask(self.tier.front(), "POST", &format!("/{route}/x"), &headers, "body").await;
+        let answer = send_request(self.tier.front(), "POST", &format!("/{route}/x"), &headers, "body").await;
         (id, answer.expect("an answer"))
     }
 }
 
 #[test]
 fn a_call_that_may_have_run_and_must_not_run_twice_is_never_resent() {
-    play(async {
+    run_test(async {
         let scenario = Scenario::start("once").await;
         for behaviour in MAY_HAVE_RUN {
             let (id, answer) = scenario.ask("once", behaviour).await;
@@ -212,7 +212,7 @@
 
 #[test]
 fn a_repeatable_call_is_answered_by_another_endpoint() {
-    play(async {
+    run_test(async {
         let scenario = Scenario::start("often").await;
         for behaviour in MAY_HAVE_RUN.into_iter().chain([Behaviour::ServerError]) {
             let (id, answer) = scenario.ask("often", behaviour).await;
@@ -225,7 +225,7 @@
 
 #[test]
 fn a_call_that_was_not_executed_is_answered_with_a_retry_time() {
-    play(async {
+    run_test(async {
         let scenario = Scenario::start("refused").await;
         for route in ["once", "often"] {
             let (id, answer) = scenario.ask(route, Behaviour::NotExecuted).await;
@@ -237,7 +237,7 @@
 
 #[test]
 fn an_unrequested_answer_is_not_forwarded() {
-    play(async {
+    run_test(async {
         let scenario = Scenario::start("surplus").await;
         for round in 0..10 {
             let behaviour = if round % 2 == 0 { Behaviour::Duplicate } else { Behaviour::Correct };
@@ -253,7 +253,7 @@
 /// With 14 connections per endpoint, 16 calls ended with 502 although no endpoint had received them.
 #[test]
 fn a_call_that_must_not_run_twice_is_not_sent_on_a_connection_beyond_the_limit() {
-    play(async {
+    run_test(async {
         let script = Rc::new(Script { behaviour: Cell::new(Behaviour::Correct), runs: RefCell::default() });
         let scenario = Scenario::with("full", script, full_endpoint().await).await;
         for round in 0..20 {
@@ -268,7 +268,7 @@
 /// not run twice.
 #[test]
 fn an_answer_without_a_length_is_complete_unless_its_connection_is_reset() {
-    play(async {
+    run_test(async {
         let scenario = Scenario::start("unframed").await;
         for round in 0..10 {
             for route in ["once", "often"] {
@@ -292,7 +292,7 @@
 /// A pooled connection may be reset before, while or after the next request is written; each request runs at most once.
 #[test]
 fn a_reset_of_an_idle_connection_repeats_no_call() {
-    play(async {
+    run_test(async {
         let scenario = Scenario::start("at-rest").await;
         let mut answered = 0;
         for round in 0..40 {
@@ -347,7 +347,7 @@
 
 #[test]
 fn an_answer_before_the_end_of_the_body_does_not_mix_requests() {
-    play(async {
+    run_test(async {
         let corrupted: Rc<Cell<u32>> = Rc::default();
         let (one, other) = (early_endpoint(corrupted.clone()).await, early_endpoint(corrupted.clone()).await);
         let configuration = configuration().replace("65536", "4194304");
@@ -358,7 +358,7 @@
             let id = format!("r{round}");
             let headers = [("request-id", id.as_str()), ("deadline-ms", "2500")];
             let route = if round % 2 == 0 { "/once/x" } else { "/often/x" };
-            let answer = ask(tier.front(), "POST", route, &headers, &body).await.expect("an answer");
+            let answer = send_request(tier.front(), "POST", route, &headers, &body).await.expect("an answer");
             if answer.status == 200 {
                 assert_eq!(answer.headers["request-id"], id.as_str());
                 answered += 1;
--- a/crates/onyxstile-system/tests/control_histories.rs
+++ b/crates/onyxstile-system/tests/control_histories.rs
@@ -7,7 +7,7 @@
 use onyxstile_system::controller::{Controller, Input, Locations, next_membership};
 use onyxstile_system::tolerance::Tolerance;
 use support::control_simulation::{CATCH_UP, ControlSimulation, Flaw};
-use support::variable;
+use support::env_number;
 
 /// Runs one history of faults and operator requests; returns the simulation with the checker's findings, and the number
 /// of faults.
@@ -79,7 +79,7 @@
 
 /// Number of histories of an overlapping-fault test: `HISTORIES`, by default few enough for every test run.
 fn history_count() -> u64 {
-    variable("HISTORIES", 150)
+    env_number("HISTORIES", 150)
 }
 
 /// Runs one history with overlapping faults, including partitions of 20 s; no more disks are lost at a time than
@@ -131,7 +131,7 @@
 
 #[test]
 fn overlapping_faults_keep_the_guarantees_and_service_resumes_after_recovery() {
-    let first = variable("FIRST", 0);
+    let first = env_number("FIRST", 0);
     for (count, tolerated) in [(5, 2), (4, 1), (3, 1)] {
         for seed in first..first + history_count() {
             let mut simulation = run_overlapping_history(count, tolerated, seed, Flaw::None, 40);
@@ -318,7 +318,7 @@
         None,
         "the fourth remains a standby"
     );
-    let all = next_membership(&crowded, &ids, support::ONE, &locations).expect("a change");
+    let all = next_membership(&crowded, &ids, support::ONE_MACHINE, &locations).expect("a change");
     assert_eq!(all.0, ids, "without tolerance of zone losses all vote");
 }
 
--- a/crates/onyxstile-system/tests/control_model.rs
+++ b/crates/onyxstile-system/tests/control_model.rs
@@ -17,7 +17,7 @@
 use onyxstile_system::controller::{Controller, Effect, Input};
 use onyxstile_system::tolerance::Location;
 use support::search::{self, Model, SearchResult};
-use support::{ONE, address};
+use support::{ONE_MACHINE, address};
 
 const MACHINES: usize = 3;
 /// Time between two ticks: every timer except the longest is due.
@@ -231,7 +231,7 @@
 /// A controller that started long ago. The grace period for restarted electors would only remove event orders from the
 /// search, and no guarantee depends on it.
 fn boot(machine: usize, disk: &Durable, incarnation: Incarnation) -> Controller {
-    Controller::new(ip(machine), disk.clone(), ONE, incarnation, Instant::default())
+    Controller::new(ip(machine), disk.clone(), ONE_MACHINE, incarnation, Instant::default())
         .with_location(location(machine))
 }
 
--- a/crates/onyxstile-system/tests/controller_end.rs
+++ b/crates/onyxstile-system/tests/controller_end.rs
@@ -5,7 +5,7 @@
 
 mod support;
 
-use support::tier::{LIMITS, Tier, ask_until, play, terminate};
+use support::tier::{LIMITS, Tier, request_until, run_test, terminate};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -16,10 +16,10 @@
 /// The answer's fate is open: a majority may be gone. That there is one is what counts.
 #[test]
 fn a_change_that_is_half_read_at_sigterm_is_answered() {
-    play(async {
+    run_test(async {
         let tier = Tier::start("controller-end", &configuration(5), &[]).await;
         let control = tier.control(2);
-        ask_until(200, control, "GET", "/api/config", &[], "").await;
+        request_until(200, control, "GET", "/api/config", &[], "").await;
         let body = configuration(6);
         let head = format!(
             "PUT /api/config HTTP/1.1\r\nHost: a\r\nIf-Match: 5\r\nContent-Length: {}\r\n\r\n",
@@ -29,7 +29,7 @@
         let mut operator = TcpStream::connect(control).await.expect("a connection");
         operator.write_all(format!("{head}{first}").as_bytes()).await.expect("it is sent");
         // Another's answer shows that the controller has had turns enough to read the head.
-        ask_until(200, control, "GET", "/api/config", &[], "").await;
+        request_until(200, control, "GET", "/api/config", &[], "").await;
         terminate();
         while TcpStream::connect(control).await.is_ok() {
             tokio::task::yield_now().await;
--- a/crates/onyxstile-system/tests/decoders.rs
+++ b/crates/onyxstile-system/tests/decoders.rs
@@ -21,8 +21,8 @@
 use onyxstile_system::wire::{self, Feed, Request, Response};
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
+use support::env_number;
 use support::memory_folder::MemoryFolder;
-use support::variable;
 
 const RUNS: u64 = 4_000;
 /// Capacity of a log in bytes.
@@ -87,8 +87,8 @@
 
 /// Calls `decode` with mutations of each seed.
 fn fuzz(seeds: &[Vec<u8>], mut decode: impl FnMut(&[u8])) {
-    let mut random = Pcg64Mcg::new(u128::from(variable("FUZZ_SEED", 1)) << 1 | 1);
-    for _ in 0..variable("FUZZ_RUNS", RUNS) {
+    let mut random = Pcg64Mcg::new(u128::from(env_number("FUZZ_SEED", 1)) << 1 | 1);
+    for _ in 0..env_number("FUZZ_RUNS", RUNS) {
         for seed in seeds {
             decode(&mutate(&mut random, seed));
         }
--- a/crates/onyxstile-system/tests/incarnations.rs
+++ b/crates/onyxstile-system/tests/incarnations.rs
@@ -6,12 +6,18 @@
 use onyxstile_system::clock::Instant;
 use onyxstile_system::control::{Message, Operation, Outcome, Token};
 use onyxstile_system::controller::{Controller, Effect, Input};
-use support::{ONE, address, elector, seeds};
+use support::{ONE_MACHINE, address, elector, seeds};
 
 /// Machine `number` of three, with the disk of the first start.
 fn start(number: u8, incarnation: u64) -> Controller {
     let ip = address(number);
-    Controller::new(ip, Controller::bootstrap(ip, &seeds()), ONE, incarnation, Instant::from_millis(0))
+    Controller::new(
+        ip,
+        Controller::bootstrap(ip, &seeds()),
+        ONE_MACHINE,
+        incarnation,
+        Instant::from_millis(0),
+    )
 }
 
 fn submit_read(controller: &mut Controller, number: u64) -> Vec<Effect> {
--- a/crates/onyxstile-system/tests/metrics.rs
+++ b/crates/onyxstile-system/tests/metrics.rs
@@ -6,11 +6,11 @@
 
 use onyxstile_system::metrics::{LABEL_VALUES_MAX, Metrics};
 use onyxstile_system::settings::{MetricsAddress, MetricsAddressError};
-use support::tier::{FIGURES, LIMITS, Tier, ask, ask_until, play};
+use support::tier::{LIMITS, METRICS_PATH, Tier, request_until, run_test, send_request};
 
 /// The text of a role's figures.
 async fn read(from: SocketAddrV4) -> String {
-    let answer = ask_until(200, from, "GET", FIGURES, &[], "").await;
+    let answer = request_until(200, from, "GET", METRICS_PATH, &[], "").await;
     assert!(
         answer.headers["content-type"].to_str().expect("text").starts_with("application/openmetrics-text")
     );
@@ -47,42 +47,44 @@
 
 #[test]
 fn each_role_tells_how_far_it_is() {
-    play(async {
+    run_test(async {
         let nobody = "127.0.0.1:9".parse().expect("an address");
         let tier = Tier::start("figures", &configuration(), &[("i-1", "api", nobody)]).await;
         for host in 2..=4 {
-            let text = read_until(tier.figures(host), "onyxstile_endpoints{stage=\"ready\"}", 1.0).await;
+            let text = read_until(tier.metrics(host), "onyxstile_endpoints{stage=\"ready\"}", 1.0).await;
             assert!(text.ends_with("# EOF\n"));
             assert_eq!(value(&text, "onyxstile_electors"), 3.0);
             assert_eq!(value(&text, "onyxstile_sure"), 1.0);
             assert!(value(&text, "onyxstile_sure_after_seconds") >= 0.0);
         }
-        read_until(tier.figures(2), "onyxstile_revision", 4.0).await;
+        read_until(tier.metrics(2), "onyxstile_revision", 4.0).await;
         for host in 5..=7 {
-            read_until(tier.figures(host), "onyxstile_storage_epoch", 1.0).await;
-            let text = read_until(tier.figures(host), "onyxstile_repairing", 0.0).await;
+            read_until(tier.metrics(host), "onyxstile_storage_epoch", 1.0).await;
+            let text = read_until(tier.metrics(host), "onyxstile_repairing", 0.0).await;
             assert_eq!(value(&text, "onyxstile_whole"), 1.0);
         }
-        let text = read_until(tier.agent_figures(), "onyxstile_endpoints_known", 1.0).await;
+        let text = read_until(tier.agent_metrics(), "onyxstile_endpoints_known", 1.0).await;
         assert_eq!(value(&text, "onyxstile_fresh"), 1.0);
-        let text = read_until(tier.figures(1), "onyxstile_endpoints_usable{service=\"api\"}", 1.0).await;
+        let text = read_until(tier.metrics(1), "onyxstile_endpoints_usable{service=\"api\"}", 1.0).await;
         assert_eq!((value(&text, "onyxstile_ready"), value(&text, "onyxstile_revision")), (1.0, 4.0));
     });
 }
 
 #[test]
 fn refusals_and_missed_sends_are_counted_by_their_cause() {
-    play(async {
+    run_test(async {
         let nobody = "127.0.0.1:9".parse().expect("an address");
         let tier = Tier::start("counted", &configuration(), &[("i-1", "api", nobody)]).await;
-        read_until(tier.figures(1), "onyxstile_endpoints_usable{service=\"api\"}", 1.0).await;
+        read_until(tier.metrics(1), "onyxstile_endpoints_usable{service=\"api\"}", 1.0).await;
         for _ in 0..3 {
-            ask(tier.front(), "GET", "/other/x", &[("request-id", "r1")], "").await.expect("an answer");
+            send_request(tier.front(), "GET", "/other/x", &[("request-id", "r1")], "")
+                .await
+                .expect("an answer");
         }
         let headers = [("request-id", "r2"), ("deadline-ms", "400")];
-        let answer = ask(tier.front(), "GET", "/r/x", &headers, "").await.expect("an answer");
+        let answer = send_request(tier.front(), "GET", "/r/x", &headers, "").await.expect("an answer");
         assert_eq!(answer.status, 503, "nobody listens there");
-        let text = read(tier.figures(1)).await;
+        let text = read(tier.metrics(1)).await;
         assert_eq!(value(&text, "onyxstile_refusals_total{cause=\"no_route\"}"), 3.0);
         assert_eq!(value(&text, "onyxstile_refusals_total{cause=\"not_taken\"}"), 1.0);
         assert!(value(&text, "onyxstile_sends_missed_total{cause=\"not_sent\"}") >= 1.0);
@@ -92,11 +94,11 @@
 
 #[test]
 fn only_the_path_that_was_named_tells_figures() {
-    play(async {
+    run_test(async {
         let tier = Tier::start("path", &configuration(), &[]).await;
-        let other = ask(tier.figures(2), "GET", "/", &[], "").await.expect("an answer");
+        let other = send_request(tier.metrics(2), "GET", "/", &[], "").await.expect("an answer");
         assert_eq!(other.status, 404);
-        let write = ask(tier.figures(2), "POST", FIGURES, &[], "x").await.expect("an answer");
+        let write = send_request(tier.metrics(2), "POST", METRICS_PATH, &[], "x").await.expect("an answer");
         assert_eq!(write.status, 405);
     });
 }
--- a/crates/onyxstile-system/tests/power_return.rs
+++ b/crates/onyxstile-system/tests/power_return.rs
@@ -10,7 +10,7 @@
 use onyxstile_system::controller::{Controller, Effect, Input};
 use onyxstile_system::storage_plan::StoragePlan;
 use onyxstile_system::tolerance::Location;
-use support::{ONE, address, elector, seeds};
+use support::{ONE_MACHINE, address, elector, seeds};
 
 /// A machine as reported by membership.
 fn live_member(number: u8) -> (ElectorId, Location) {
@@ -42,7 +42,7 @@
 }
 
 fn start() -> Controller {
-    Controller::new(address(1), durable(1), ONE, 7, Instant::from_millis(0))
+    Controller::new(address(1), durable(1), ONE_MACHINE, 7, Instant::from_millis(0))
 }
 
 /// Regression: after a power loss, view 4 with six of nine electors came after 0.6 s and view 5 with all after 1.1 s,
@@ -75,7 +75,8 @@
     let write = held.state.write(Change::Storage(Rc::new(plan)));
     assert!(held.state.apply(&write));
     let controller = |last_write| {
-        Controller::new(address(1), held.clone(), ONE, 7, Instant::from_millis(0)).with_last_write(last_write)
+        Controller::new(address(1), held.clone(), ONE_MACHINE, 7, Instant::from_millis(0))
+            .with_last_write(last_write)
     };
     let update_sent = |messages: Vec<Message>| {
         messages.into_iter().find_map(|message| match message {
@@ -102,7 +103,7 @@
     let plan = StoragePlan { epoch: 1, ..StoragePlan::default() };
     let write = held.state.write(Change::Storage(Rc::new(plan)));
     assert!(held.state.apply(&write));
-    Controller::new(address(1), held, ONE, 7, Instant::from_millis(0))
+    Controller::new(address(1), held, ONE_MACHINE, 7, Instant::from_millis(0))
 }
 
 fn status(number: u8, view: u64, written: u64) -> Input {
@@ -138,7 +139,7 @@
 #[test]
 fn an_operator_still_waits_for_the_whole_chain() {
     let now = Instant::from_millis(10);
-    let mut controller = Controller::new(address(1), durable(1), ONE, 7, now);
+    let mut controller = Controller::new(address(1), durable(1), ONE_MACHINE, 7, now);
     let body = Rc::new(br#"{"revision":1,"routes":[],"services":[]}"#.to_vec());
     let put = Operation::PutConfiguration { base: Some(0), body };
     let mut effects = controller.step(now, Input::Operation { number: 1, operation: put });
--- a/crates/onyxstile-system/tests/programs.rs
+++ b/crates/onyxstile-system/tests/programs.rs
@@ -17,7 +17,7 @@
 use onyxstile_system::tolerance::Tolerance;
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
-use support::{ONE, address, plan};
+use support::{ONE_MACHINE, address, plan};
 
 fn turn(id: &str) -> Rc<Turn> {
     Rc::new(Turn {
@@ -209,7 +209,7 @@
 /// of tokens that a client can have received beyond the budget.
 fn overdraft(seed: u64, answers_while_empty: bool) -> i64 {
     let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
-    let mut cluster = Cluster::new(4, ONE);
+    let mut cluster = Cluster::new(4, ONE_MACHINE);
     cluster.answers_while_empty = answers_while_empty;
     let budget = 1000;
     let mut received = 0;
@@ -273,7 +273,7 @@
 fn an_acknowledged_turn_survives_successive_losses() {
     for seed in 0..80u64 {
         let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
-        let mut cluster = Cluster::new(if seed.is_multiple_of(2) { 3 } else { 6 }, ONE);
+        let mut cluster = Cluster::new(if seed.is_multiple_of(2) { 3 } else { 6 }, ONE_MACHINE);
         let mut stored = Vec::new();
         for round in 0..12 {
             for item in 0..4 {
@@ -296,7 +296,7 @@
 fn a_turn_survives_a_plan_change_and_the_loss_of_an_old_disk() {
     for seed in 0..80u64 {
         let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
-        let mut cluster = Cluster::new(4, ONE);
+        let mut cluster = Cluster::new(4, ONE_MACHINE);
         let mut stored = Vec::new();
         let mut write_turns = |cluster: &mut Cluster, rng: &mut Pcg64Mcg, name: &str| {
             for item in 0..10 {
@@ -340,7 +340,7 @@
     for number in 0..500 {
         let key = format!("key-{number}");
         for other in [&before, &after] {
-            let mut one = Quorum::new(&changing, &key, ONE);
+            let mut one = Quorum::new(&changing, &key, ONE_MACHINE);
             let mut answered = BTreeSet::new();
             for member in one.members() {
                 answered.insert(member);
@@ -348,7 +348,7 @@
                     break;
                 }
             }
-            let mut rest = Quorum::new(other, &key, ONE);
+            let mut rest = Quorum::new(other, &key, ONE_MACHINE);
             let reached =
                 rest.members().into_iter().filter(|ip| !answered.contains(ip)).any(|ip| rest.count(ip));
             assert!(!reached, "{key}: two quorums without a common machine");
@@ -481,7 +481,8 @@
     let mut moved = 0;
     for number in 0..6000 {
         let key = format!("key-{number}");
-        let (old, new) = (&groups(&before, &key, ONE)[0].members, &groups(&after, &key, ONE)[0].members);
+        let (old, new) =
+            (&groups(&before, &key, ONE_MACHINE)[0].members, &groups(&after, &key, ONE_MACHINE)[0].members);
         old.iter().for_each(|ip| *held.entry(*ip).or_default() += 1);
         moved += new.iter().filter(|ip| !old.contains(ip)).count();
     }
@@ -494,9 +495,9 @@
     let before = plan(1, &[1, 2, 3, 4, 5], &[]);
     for number in 0..200 {
         let key = format!("key-{number}");
-        let members = groups(&before, &key, ONE)[0].members.clone();
+        let members = groups(&before, &key, ONE_MACHINE)[0].members.clone();
         let near = |zone: &str, suspected: &[Ipv4Addr]| {
-            nearest(&before, &key, ONE, zone, |member| suspected.contains(&member))
+            nearest(&before, &key, ONE_MACHINE, zone, |member| suspected.contains(&member))
         };
         for member in &members {
             let zone = format!("z{}", member.octets()[3]);
@@ -508,7 +509,7 @@
         assert_eq!(near("elsewhere", &members), None);
         let changing = plan(2, &[6, 7, 8], &[1, 2, 3, 4, 5]);
         assert_eq!(
-            nearest(&changing, &key, ONE, "z6", |_| false),
+            nearest(&changing, &key, ONE_MACHINE, "z6", |_| false),
             Some(members[0]),
             "new members store nothing yet"
         );
--- a/crates/onyxstile-system/tests/proxy_end.rs
+++ b/crates/onyxstile-system/tests/proxy_end.rs
@@ -23,7 +23,7 @@
 use support::standalone_proxy::{
     AFTER_SHUTDOWN, LARGE_BODY, StandaloneProxy, UNTIL_LISTENER_CLOSE, configuration, terminate,
 };
-use support::tier::play;
+use support::tier::run_test;
 use support::virtual_time::{VirtualTime, run_ready_tasks};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -35,7 +35,7 @@
 
 #[test]
 fn listener_closes_when_a_client_connects_at_the_closing_time() {
-    play(async {
+    run_test(async {
         let time = VirtualTime::stop();
         let (_endpoint, address) = GatedEndpoint::listen(b"").await;
         let proxies = StandaloneProxy::start(PROXIES, &configuration(), address).await;
@@ -53,7 +53,7 @@
 /// Found by reading, in the same class: what waited to be taken up at the close was reset, with its request unread.
 #[test]
 fn request_in_the_listen_queue_at_closing_time_is_answered() {
-    play(async {
+    run_test(async {
         let time = VirtualTime::stop();
         let (endpoint, address) = GatedEndpoint::listen(b"whole").await;
         endpoint.may_respond.send_replace(true);
@@ -83,7 +83,7 @@
 
 #[test]
 fn partially_received_head_at_closing_time_is_answered_before_exit() {
-    play(async {
+    run_test(async {
         let time = VirtualTime::stop();
         let (endpoint, address) = GatedEndpoint::listen(b"whole").await;
         let proxies = StandaloneProxy::start(1, &configuration(), address).await;
@@ -109,7 +109,7 @@
 /// It has 60 s, the process 5 s: whoever can't be served to the end is told at once, and the endpoint is not asked.
 #[test]
 fn request_that_outlasts_the_shutdown_gets_a_retry_after() {
-    play(async {
+    run_test(async {
         let time = VirtualTime::stop();
         let (endpoint, address) = GatedEndpoint::listen(b"whole").await;
         let proxies = StandaloneProxy::start(1, &configuration().replace("5000", "60000"), address).await;
@@ -129,7 +129,7 @@
 
 #[test]
 fn response_queued_for_a_slow_client_is_sent_before_exit() {
-    play(async {
+    run_test(async {
         let time = VirtualTime::stop();
         let (endpoint, address) = GatedEndpoint::listen(&vec![b'x'; LARGE_BODY]).await;
         let proxies = StandaloneProxy::start(1, &configuration(), address).await;
@@ -152,7 +152,7 @@
 /// A way that was looked at and is sound: a head that ends after the kill is near is taken, and refused in the same turn.
 #[test]
 fn head_completed_in_the_last_milliseconds_is_refused_before_exit() {
-    play(async {
+    run_test(async {
         let time = VirtualTime::stop();
         let (endpoint, address) = GatedEndpoint::listen(b"whole").await;
         let long_header_timeout =
--- a/crates/onyxstile-system/tests/repair.rs
+++ b/crates/onyxstile-system/tests/repair.rs
@@ -5,7 +5,7 @@
 use onyxstile_system::clock::Instant;
 use onyxstile_system::program::{CopiedChanges, Progress};
 use onyxstile_system::storage_plan::StoragePlan;
-use support::{ONE, address, plan};
+use support::{ONE_MACHINE, address, plan};
 
 fn at(ms: u64) -> Instant {
     Instant::from_millis(ms)
@@ -39,14 +39,14 @@
     let mut progress = with_plan(&plan);
     copy(&mut progress, 10, 2, 1, true);
     copy(&mut progress, 20, 3, 1, true);
-    assert!(!progress.assess(at(30), (address(1), 1), &plan, false, ONE).is_complete);
+    assert!(!progress.assess(at(30), (address(1), 1), &plan, false, ONE_MACHINE).is_complete);
     copy(&mut progress, 40, 4, 1, false);
     assert!(
-        !progress.assess(at(50), (address(1), 1), &plan, false, ONE).is_complete,
+        !progress.assess(at(50), (address(1), 1), &plan, false, ONE_MACHINE).is_complete,
         "the last source is not complete"
     );
     copy(&mut progress, 60, 4, 1, true);
-    let assessment = progress.assess(at(70), (address(1), 1), &plan, false, ONE);
+    let assessment = progress.assess(at(70), (address(1), 1), &plan, false, ONE_MACHINE);
     assert!(assessment.is_complete && assessment.is_synced);
 }
 
@@ -56,7 +56,7 @@
     let mut progress = with_plan(&plan);
     copy(&mut progress, 10, 2, 2, true);
     copy(&mut progress, 20, 3, 2, true);
-    assert!(progress.assess(at(30), (address(1), 1), &plan, false, ONE).is_complete);
+    assert!(progress.assess(at(30), (address(1), 1), &plan, false, ONE_MACHINE).is_complete);
 }
 
 /// f = 1, and a turn is stored on 1 and 3; 3 is unavailable and 1 has lost its disk. No amount of elapsed time replaces
@@ -67,11 +67,11 @@
     let mut progress = with_plan(&plan);
     copy(&mut progress, 10, 2, 1, true);
     for ms in [7_000, 9_000, 60_000, 86_400_000] {
-        let assessment = progress.assess(at(ms), (address(1), 1), &plan, false, ONE);
+        let assessment = progress.assess(at(ms), (address(1), 1), &plan, false, ONE_MACHINE);
         assert!(!assessment.is_complete && !assessment.is_synced, "after {ms} ms");
     }
     copy(&mut progress, 86_400_010, 3, 1, true);
-    assert!(progress.assess(at(86_400_020), (address(1), 1), &plan, false, ONE).is_complete);
+    assert!(progress.assess(at(86_400_020), (address(1), 1), &plan, false, ONE_MACHINE).is_complete);
 }
 
 /// Guards against a plan change that never ends: f + 2 machines joined in one plan, and each waited for f + 1 machines
@@ -93,7 +93,7 @@
             for other in new_members.iter().filter(|other| *other != own) {
                 copy(&mut progress, 20, *other, 2, false);
             }
-            let assessment = progress.assess(at(60_000), (address(*own), 1), &plan, false, ONE);
+            let assessment = progress.assess(at(60_000), (address(*own), 1), &plan, false, ONE_MACHINE);
             assert!(assessment.is_complete, "{own} of {current:?}");
             assert!(assessment.is_synced, "{own} of {current:?} delays the end of the change");
         }
@@ -109,11 +109,11 @@
     copy(&mut progress, 10, 5, 2, true);
     (1..=3).for_each(|new_member| copy(&mut progress, 20, new_member, 2, false));
     assert!(
-        !progress.assess(at(60_000), (address(4), 1), &plan, false, ONE).is_complete,
+        !progress.assess(at(60_000), (address(4), 1), &plan, false, ONE_MACHINE).is_complete,
         "6 may hold the only copy"
     );
     copy(&mut progress, 60_010, 6, 2, true);
-    let assessment = progress.assess(at(60_020), (address(4), 1), &plan, false, ONE);
+    let assessment = progress.assess(at(60_020), (address(4), 1), &plan, false, ONE_MACHINE);
     assert!(assessment.is_complete && assessment.is_synced);
 }
 
@@ -133,8 +133,11 @@
         evaluated_epoch: 1,
     };
     progress.note(at(20), address(3), before, more, 1);
-    assert!(!progress.assess(at(30), (address(1), 1), &plan, true, ONE).is_synced);
-    assert!(progress.assess(at(2_000), (address(1), 1), &plan, true, ONE).is_synced, "it is unreachable now");
+    assert!(!progress.assess(at(30), (address(1), 1), &plan, true, ONE_MACHINE).is_synced);
+    assert!(
+        progress.assess(at(2_000), (address(1), 1), &plan, true, ONE_MACHINE).is_synced,
+        "it is unreachable now"
+    );
 }
 
 #[test]
@@ -200,11 +203,11 @@
     synced(&mut progress, 2, 2);
     synced(&mut progress, 5, 1);
     assert!(
-        !progress.assess(at(60_000), (address(1), 1), &plan, false, ONE).is_complete,
+        !progress.assess(at(60_000), (address(1), 1), &plan, false, ONE_MACHINE).is_complete,
         "5 was not synced for this plan"
     );
     synced(&mut progress, 5, 2);
-    let assessment = progress.assess(at(60_010), (address(1), 1), &plan, false, ONE);
+    let assessment = progress.assess(at(60_010), (address(1), 1), &plan, false, ONE_MACHINE);
     assert!(assessment.is_complete && assessment.is_synced);
 }
 
@@ -213,7 +216,7 @@
     let plan = plan(1, &[2, 3, 4], &[]);
     let mut progress = with_plan(&plan);
     (2..=4).for_each(|other| copy(&mut progress, 10, other, 1, true));
-    let assessment = progress.assess(at(20), (address(1), 1), &plan, false, ONE);
+    let assessment = progress.assess(at(20), (address(1), 1), &plan, false, ONE_MACHINE);
     assert!(!assessment.is_complete && !assessment.is_synced);
 }
 
@@ -224,16 +227,16 @@
     let old = plan(1, &[1, 2, 3], &[]);
     let mut progress = with_plan(&old);
     (2..=3).for_each(|other| copy(&mut progress, 10, other, 1, true));
-    let assessment = progress.assess(at(20), (address(1), 2), &old, false, ONE);
+    let assessment = progress.assess(at(20), (address(1), 2), &old, false, ONE_MACHINE);
     assert!(!assessment.is_complete && !assessment.is_synced, "under the plan of the lost disk");
     let mut new = plan(2, &[1, 2, 3], &[1, 2, 3]);
     new.current[0].disk = 2;
     assert!(progress.apply_plan(address(1), &old, &new).is_empty());
     assert!(
-        !progress.assess(at(30), (address(1), 2), &new, false, ONE).is_complete,
+        !progress.assess(at(30), (address(1), 2), &new, false, ONE_MACHINE).is_complete,
         "the others may still write under the old plan"
     );
     (2..=3).for_each(|other| copy(&mut progress, 40, other, 2, true));
-    let assessment = progress.assess(at(50), (address(1), 2), &new, false, ONE);
+    let assessment = progress.assess(at(50), (address(1), 2), &new, false, ONE_MACHINE);
     assert!(assessment.is_complete && assessment.is_synced);
 }
--- a/crates/onyxstile-system/tests/requests.rs
+++ b/crates/onyxstile-system/tests/requests.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use support::listener::{field, listen, read_head};
-use support::tier::{Answer, LIMITS, Tier, ask, play};
+use support::tier::{Answer, LIMITS, Tier, run_test, send_request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
@@ -146,7 +146,7 @@
     // Endpoints reach the proxy a moment after it is ready.
     while endpoints.iter().all(|endpoint| endpoint.count() == 0) {
         let headers = [("request-id", "first"), ("deadline-ms", "100")];
-        ask(tier.front(), "GET", "/plain/x", &headers, "").await;
+        send_request(tier.front(), "GET", "/plain/x", &headers, "").await;
     }
     endpoints.iter().for_each(|endpoint| endpoint.heads.borrow_mut().clear());
     tier
@@ -155,13 +155,13 @@
 async fn get(tier: &Tier, path: &str, id: &str, more: &[(&str, &str)]) -> Answer {
     let mut headers = vec![("request-id", id)];
     headers.extend(more);
-    ask(tier.front(), "GET", path, &headers, "").await.expect("an answer")
+    send_request(tier.front(), "GET", path, &headers, "").await.expect("an answer")
 }
 
 /// BUDGET: endpoints are handed no more time than is left, whether the call goes out for the first time or again.
 #[test]
 fn forwarded_deadline_never_exceeds_the_clients_remaining_time() {
-    play(async {
+    run_test(async {
         let endpoints = [Endpoint::new("i-1", Behaviour::Refuses), Endpoint::new("i-2", Behaviour::Refuses)];
         let tier = tier("deadline", &endpoints).await;
         for round in 0..2 {
@@ -181,7 +181,7 @@
 
 #[test]
 fn request_without_a_deadline_is_forwarded_with_one() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::new("i-1", Behaviour::Answers);
         let tier = tier("no-deadline", std::slice::from_ref(&endpoint)).await;
         assert_eq!(get(&tier, "/plain/x", "r1", &[]).await.status, 200);
@@ -192,7 +192,7 @@
 /// GONE: an endpoint does not go on working for a client that has left.
 #[test]
 fn client_disconnect_cancels_the_work_at_the_endpoint() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::new("i-1", Behaviour::Silent);
         let tier = tier("gone", std::slice::from_ref(&endpoint)).await;
         // What reached the endpoint before is over.
@@ -217,7 +217,7 @@
 /// CONFIG: no answer comes much later than the route's time-out, whatever the client would wait.
 #[test]
 fn silent_endpoint_is_answered_with_an_error_at_the_route_timeout() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::new("i-1", Behaviour::Silent);
         let tier = tier("short", std::slice::from_ref(&endpoint)).await;
         let began = Instant::now();
@@ -230,7 +230,7 @@
 /// Duty: each part of a `traffic_split` gets its share; a session stays with its part.
 #[test]
 fn services_of_a_split_route_get_their_shares() {
-    play(async {
+    run_test(async {
         let one = Endpoint::new("i-1", Behaviour::Answers);
         let other = Endpoint::new("i-2", Behaviour::Answers);
         let listed = [("i-1", "api", one.listen().await), ("i-2", "other", other.listen().await)];
@@ -266,11 +266,11 @@
 /// DENIED: a proxy that knows no configuration yet does not say that there is no such route.
 #[test]
 fn proxy_without_a_configuration_sends_retry_after() {
-    play(async {
+    run_test(async {
         let tier = Tier::start_proxy_alone("alone").await;
         let answer = loop {
             let headers = [("request-id", "r1"), ("deadline-ms", "1000")];
-            if let Some(answer) = ask(tier.front(), "GET", "/plain/x", &headers, "").await {
+            if let Some(answer) = send_request(tier.front(), "GET", "/plain/x", &headers, "").await {
                 break answer;
             }
             tokio::task::yield_now().await;
@@ -284,7 +284,7 @@
 /// An endpoint with other weights than a client asks for is no endpoint that has gone: it took no call any more.
 #[test]
 fn endpoint_with_another_weights_version_stays_usable() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::new("i-1", Behaviour::HasOtherVersion);
         let tier = tier("version", std::slice::from_ref(&endpoint)).await;
         for round in 0..3 {
--- a/crates/onyxstile-system/tests/soak/connection.rs
+++ b/crates/onyxstile-system/tests/soak/connection.rs
@@ -10,7 +10,7 @@
 use crate::support::listener::field;
 
 /// An answer, or the end of the connection, comes by so long after the deadline.
-pub const HELD: Duration = Duration::from_millis(1500);
+pub const ANSWER_SLACK: Duration = Duration::from_millis(1500);
 /// What a client that reads slowly holds; the rest of an answer waits at the other side.
 const SMALL_BUFFER: u32 = 8 * 1024;
 
@@ -29,7 +29,7 @@
     /// The connection ended before; so many bytes of an answer had come.
     Closed(usize),
     /// Neither came.
-    Held,
+    TimedOut,
 }
 
 /// One connection.
@@ -40,9 +40,9 @@
 
 impl Connection {
     /// Connects.
-    pub async fn open(to: SocketAddrV4, is_slow: bool) -> io::Result<Connection> {
+    pub async fn open(to: SocketAddrV4, reads_slowly: bool) -> io::Result<Connection> {
         let socket = TcpSocket::new_v4()?;
-        if is_slow {
+        if reads_slowly {
             socket.set_recv_buffer_size(SMALL_BUFFER)?;
         }
         Ok(Connection { stream: socket.connect(to.into()).await?, buffer: Vec::new() })
@@ -58,14 +58,14 @@
         self.stream.shutdown().await.ok();
     }
 
-    /// Reads an answer; `patience` bounds the wait for all of it.
-    pub async fn answer(&mut self, patience: Duration) -> Outcome {
-        tokio::time::timeout(patience, self.read_answer()).await.unwrap_or(Outcome::Held)
+    /// Reads an answer; `timeout` bounds the wait for all of it.
+    pub async fn answer(&mut self, timeout: Duration) -> Outcome {
+        tokio::time::timeout(timeout, self.read_answer()).await.unwrap_or(Outcome::TimedOut)
     }
 
     /// Reads the first bytes of an answer; whether there were any. An end shows again in the next read.
-    pub async fn read_some(&mut self, patience: Duration) -> bool {
-        let first = tokio::time::timeout(patience, self.stream.read_buf(&mut self.buffer)).await;
+    pub async fn read_some(&mut self, timeout: Duration) -> bool {
+        let first = tokio::time::timeout(timeout, self.stream.read_buf(&mut self.buffer)).await;
         first.is_ok_and(|read| read.is_ok_and(|count| count > 0))
     }
 
@@ -82,10 +82,10 @@
         }
     }
 
-    /// Waits until the other side asks for the body with a `100 Continue`, closes, or answers; whether it asked.
-    pub async fn is_asked_for_body(&mut self, patience: Duration) -> bool {
+    /// Waits until the other side asks for the body with a `100 Continue`, closes, or answers; whether it received.
+    pub async fn receives_continue(&mut self, timeout: Duration) -> bool {
         const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-        let asked = async {
+        let received = async {
             while !self.buffer.windows(4).any(|bytes| bytes == b"\r\n\r\n") {
                 if !matches!(self.stream.read_buf(&mut self.buffer).await, Ok(1..)) {
                     return false;
@@ -93,11 +93,11 @@
             }
             self.buffer.starts_with(CONTINUE)
         };
-        let is_asked = tokio::time::timeout(patience, asked).await.unwrap_or(false);
-        if is_asked {
+        let is_continue = tokio::time::timeout(timeout, received).await.unwrap_or(false);
+        if is_continue {
             self.buffer.drain(..CONTINUE.len());
         }
-        is_asked
+        is_continue
     }
 }
 
@@ -109,13 +109,13 @@
     let closes = field(&head, "connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
     let (body, length) = match field(&head, "content-length").and_then(|text| text.parse::<usize>().ok()) {
         Some(length) => (bytes.get(end..end + length)?.to_vec(), length),
-        None => chunks(&bytes[end..])?,
+        None => parse_chunked(&bytes[end..])?,
     };
     Some((Answer { status, body, closes }, end + length))
 }
 
 /// A chunked body at the start of some bytes, and how many it takes.
-fn chunks(bytes: &[u8]) -> Option<(Vec<u8>, usize)> {
+fn parse_chunked(bytes: &[u8]) -> Option<(Vec<u8>, usize)> {
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
         let line = bytes[at..].windows(2).position(|part| part == b"\r\n")?;
--- a/crates/onyxstile-system/tests/soak/endpoints.rs
+++ b/crates/onyxstile-system/tests/soak/endpoints.rs
@@ -73,13 +73,16 @@
             if field(&head, "program").is_some() {
                 self.prompts.borrow_mut().insert(id.clone(), body);
             } else if body != vec![b'b'; number("body-bytes").unwrap_or(0) as usize] {
-                run.fault(format!("request {id} came with a body of {} bytes that nobody sent", body.len()));
+                run.record_fault(format!(
+                    "request {id} came with a body of {} bytes that nobody sent",
+                    body.len()
+                ));
             }
             let work = Duration::from_millis(number("work-ms").unwrap_or(0));
             let sent = match number("events") {
                 Some(events) => stream_events(&run, &mut stream, &id, events, work).await,
                 None => {
-                    run.pass(work).await;
+                    run.sleep(work).await;
                     let body = answer_body(&id, number("answer-bytes").unwrap_or(0) as usize);
                     let length = format!("Content-Length: {}", body.len());
                     stream.write_all(&[head_of(&id, &length).into_bytes(), body].concat()).await
@@ -115,7 +118,7 @@
 ) -> std::io::Result<()> {
     stream.write_all(head_of(id, "Transfer-Encoding: chunked").as_bytes()).await?;
     for number in 1..=events {
-        run.pass(work / events as u32).await;
+        run.sleep(work / events as u32).await;
         let (text, _) = event(id, number);
         stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await?;
     }
--- a/crates/onyxstile-system/tests/soak/ledger.rs
+++ b/crates/onyxstile-system/tests/soak/ledger.rs
@@ -6,21 +6,21 @@
 use crate::Run;
 use crate::connection::Outcome;
 use crate::endpoints::{Endpoints, Execution};
-use crate::process::GRACES;
+use crate::process::GRACE_PERIODS;
 
 /// A whole request that is closed without an answer is so within this time: `loss_slack_ms` of every deployment.
 pub const LOSS_SLACK: Duration = Duration::from_millis(200);
 /// Endpoints that one try may run on where it may be repeated.
-const ATTEMPTS: usize = 2;
+const ATTEMPTS_MAX: usize = 2;
 /// A request that takes longer than the process has left may be cut by its end, if its endpoint works, or its client reads nothing,
 /// into this last part of the grace, and it was sent while the listener was open.
-const LAST_PART: f64 = 5.0 / 6.0;
+const LAST_PART_OF_GRACE: f64 = 5.0 / 6.0;
 
 /// One request.
 pub struct Record {
     pub id: String,
     /// What was asked, for whoever reads of a fault.
-    pub asked: String,
+    pub request: String,
     pub edge: usize,
     /// When its first byte was sent, its last, and when its outcome was known.
     pub began: Instant,
@@ -29,11 +29,11 @@
     pub deadline: Duration,
     /// What the client itself let pass between two reads.
     pub paused: Duration,
-    pub may_repeat: bool,
+    pub is_idempotent: bool,
     /// The client had ended its own half of the connection, which counts as leaving.
-    pub has_left: bool,
+    pub has_half_closed: bool,
     /// The answer before it on its connection had said that the connection closes, or had not come.
-    pub is_behind_end: bool,
+    pub follows_last_answer: bool,
     /// The whole body of the answer.
     pub expected: Vec<u8>,
     pub outcome: Outcome,
@@ -52,11 +52,11 @@
     }
 
     /// Holds all requests against the rules.
-    pub fn judge(&self, run: &Run, endpoints: &Endpoints) {
+    pub fn check(&self, run: &Run, endpoints: &Endpoints) {
         for record in &*self.records.borrow() {
             let executions = endpoints.executions(&record.id);
-            if let Some(fault) = record.fault(run, &executions) {
-                run.fault(format!("request {} {fault}; {}", record.id, record.circumstances(run)));
+            if let Some(fault) = record.violation(run, &executions) {
+                run.record_fault(format!("request {} {fault}; {}", record.id, record.circumstances(run)));
             }
         }
     }
@@ -93,33 +93,35 @@
             since(edge.terminations()),
             since(edge.shortenings()),
             since(edge.kills()),
-            self.asked
+            self.request
         )
     }
 
     /// What breaks a rule in it.
-    fn fault(&self, run: &Run, executions: &[Execution]) -> Option<String> {
+    fn violation(&self, run: &Run, executions: &[Execution]) -> Option<String> {
         let runs = executions.len();
-        if runs > if self.may_repeat { ATTEMPTS } else { 1 } {
+        if runs > if self.is_idempotent { ATTEMPTS_MAX } else { 1 } {
             return Some(format!("ran {runs} times"));
         }
         let took = self.ended - self.sent;
         match &self.outcome {
             Outcome::Answered(answer) => match answer.status {
                 200 if runs > 0 && answer.body == self.expected => None,
-                503 if runs == 0 || self.may_repeat => None,
+                503 if runs == 0 || self.is_idempotent => None,
                 504 if self.ended - self.began >= self.deadline.mul_f64(0.8) => None,
                 status => Some(format!("got {status} and {} bytes, ran {runs} times", answer.body.len())),
             },
-            Outcome::Held => Some(format!("was neither answered nor closed in {took:?}, ran {runs} times")),
-            Outcome::Closed(_) if self.has_left || self.was_killed(run) => None,
+            Outcome::TimedOut => {
+                Some(format!("was neither answered nor closed in {took:?}, ran {runs} times"))
+            }
+            Outcome::Closed(_) if self.has_half_closed || self.was_killed(run) => None,
             Outcome::Closed(_) if runs > 0 && self.outlasts_grace(run, executions) => None,
             Outcome::Closed(bytes) if runs > 0 => {
                 Some(format!("ran and was closed after {took:?} with {bytes} bytes of an answer"))
             }
             // An answer that says so is the last: what was sent behind it is read by nobody (RFC 9112, 9.6). Behind one that did
             // not come, which is a record of its own, there can be none.
-            Outcome::Closed(_) if self.is_behind_end => None,
+            Outcome::Closed(_) if self.follows_last_answer => None,
             Outcome::Closed(_) if took > LOSS_SLACK => {
                 Some(format!("was closed after {took:?} without an answer"))
             }
@@ -138,13 +140,13 @@
     /// closed, or that became shorter while it was under way.
     fn outlasts_grace(&self, run: &Run, executions: &[Execution]) -> bool {
         let edge = &run.edges[self.edge];
-        edge.terminations().iter().any(|told| {
-            let last_part = *told + GRACES[0].mul_f64(LAST_PART);
+        edge.terminations().iter().any(|terminated_at| {
+            let last_part = *terminated_at + GRACE_PERIODS[0].mul_f64(LAST_PART_OF_GRACE);
             let was_cut_short = edge.shortenings().iter().any(|at| (self.began..=self.ended).contains(at));
-            let was_taken = self.sent <= *told + GRACES[1] / 2 || was_cut_short;
+            let was_accepted = self.sent <= *terminated_at + GRACE_PERIODS[1] / 2 || was_cut_short;
             let still_works = |run: &Execution| run.ended.is_none_or(|ended| ended >= last_part);
-            let still_rests = !self.paused.is_zero() && self.sent + self.paused >= last_part;
-            was_taken && self.ended >= last_part && (still_rests || executions.iter().any(still_works))
+            let still_pauses = !self.paused.is_zero() && self.sent + self.paused >= last_part;
+            was_accepted && self.ended >= last_part && (still_pauses || executions.iter().any(still_works))
         })
     }
 }
--- a/crates/onyxstile-system/tests/soak/machine.rs
+++ b/crates/onyxstile-system/tests/soak/machine.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use crate::process::{GRACES, Process};
+use crate::process::{GRACE_PERIODS, Process};
 use crate::support::tier::{Ports, settings_text};
 
 /// The zone that all edge machines share.
@@ -50,15 +50,15 @@
         };
         let processes = roles.iter().map(process).collect();
         let machine = Machine { processes, name, host, settings, text };
-        machine.set_grace(0);
+        machine.set_grace_period(0);
         machine
     }
 
     /// Writes its settings, with one of the graces.
-    pub fn set_grace(&self, index: usize) {
-        let grace = GRACES[index];
+    pub fn set_grace_period(&self, index: usize) {
+        let grace = GRACE_PERIODS[index];
         for process in &self.processes {
-            process.name_grace(grace);
+            process.configure_grace(grace);
         }
         let text = format!("{}[bounds]\ngrace_s = {}\n", self.text, grace.as_secs());
         let aside = self.settings.with_extension("aside");
@@ -72,8 +72,8 @@
     }
 
     /// Sends SIGHUP to its processes.
-    pub fn hang_up(&self) {
-        self.processes.iter().for_each(|process| process.hang_up());
+    pub fn reload(&self) {
+        self.processes.iter().for_each(|process| process.reload());
     }
 
     /// Kills its processes.
@@ -97,8 +97,8 @@
     }
 
     /// Whether all its processes have run for so long, untold to end.
-    pub fn is_steady(&self, time: Duration) -> bool {
-        self.processes.iter().all(|process| process.is_steady(time))
+    pub fn is_stable(&self, time: Duration) -> bool {
+        self.processes.iter().all(|process| process.is_stable(time))
     }
 
     /// What its first process logged of its drains.
--- a/crates/onyxstile-system/tests/soak/main.rs
+++ b/crates/onyxstile-system/tests/soak/main.rs
@@ -33,18 +33,18 @@
 use programs::Programs;
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
+use support::env_number;
 use support::tier::{Ports, free_ports};
-use support::variable;
 use tokio::task::{JoinSet, LocalSet};
 
 /// Runs that go at once.
-const LANES: u64 = 8;
+const PARALLEL_RUNS: u64 = 8;
 /// Seeds of the short form.
-const SHORT: u64 = 16;
+const DEFAULT_SEEDS: u64 = 16;
 /// Time of clients and faults in one run of the short form, in seconds.
-const BUSY_S: u64 = 8;
+const TRAFFIC_S: u64 = 8;
 /// A run that takes this much longer stands still.
-const PATIENCE: Duration = Duration::from_secs(90);
+const RUN_TIMEOUT: Duration = Duration::from_secs(90);
 /// Clients of one run.
 const CLIENTS: usize = 12;
 /// Programs that go on at once.
@@ -52,7 +52,7 @@
 /// Hosts of the edge machines.
 const EDGES: std::ops::RangeInclusive<u8> = 10..=12;
 /// One run in so many loses every process at one moment, at the end of its traffic.
-const STRIKE_ALL_EVERY: u64 = 3;
+const KILL_ALL_EVERY: u64 = 3;
 
 /// What all parts of a run share.
 pub struct Run {
@@ -60,13 +60,13 @@
     pub ports: Ports,
     pub began: Instant,
     /// No more traffic and faults.
-    pub is_over: Cell<bool>,
+    pub is_traffic_over: Cell<bool>,
     /// Processes that end are not started again.
-    pub is_ending: Cell<bool>,
+    pub is_shutting_down: Cell<bool>,
     pub edges: Vec<Rc<Machine>>,
     pub others: Vec<Rc<Machine>>,
     pub faults: RefCell<Vec<String>>,
-    random: RefCell<Pcg64Mcg>,
+    rng: RefCell<Pcg64Mcg>,
 }
 
 impl Run {
@@ -76,22 +76,22 @@
     }
 
     /// A number below `bound`.
-    pub fn roll(&self, bound: u64) -> u64 {
-        u64::from(self.random.borrow_mut().next_u32()) % bound
+    pub fn random_below(&self, bound: u64) -> u64 {
+        u64::from(self.rng.borrow_mut().next_u32()) % bound
     }
 
     /// Waits by the clock: the soak alone does, for its processes are real.
-    pub async fn pass(&self, time: Duration) {
+    pub async fn sleep(&self, time: Duration) {
         tokio::time::sleep(time).await;
     }
 
     /// Waits up to so many ms.
-    pub async fn rest(&self, most_ms: u64) {
-        self.pass(Duration::from_millis(self.roll(most_ms + 1))).await;
+    pub async fn random_pause(&self, max_ms: u64) {
+        self.sleep(Duration::from_millis(self.random_below(max_ms + 1))).await;
     }
 
     /// Notes something that must not be.
-    pub fn fault(&self, text: String) {
+    pub fn record_fault(&self, text: String) {
         self.faults.borrow_mut().push(text);
     }
 }
@@ -103,49 +103,49 @@
     let others =
         (2..=4).map(|host| machine("core", host)).chain((5..=7).map(|host| machine("storage", host)));
     Rc::new(Run {
-        is_over: Cell::new(false),
-        is_ending: Cell::new(false),
+        is_traffic_over: Cell::new(false),
+        is_shutting_down: Cell::new(false),
         edges: EDGES.map(|host| machine("edge", host)).collect(),
         others: others.collect(),
         faults: RefCell::default(),
-        random: RefCell::new(Pcg64Mcg::new(u128::from(seed) << 1 | 1)),
+        rng: RefCell::new(Pcg64Mcg::new(u128::from(seed) << 1 | 1)),
         folder,
         ports,
         began: Instant::now(),
     })
 }
 
-async fn play(run: Rc<Run>, seed: u64, busy: Duration) -> String {
-    let mut kept = JoinSet::new();
+async fn run_tier(run: Rc<Run>, seed: u64, traffic_time: Duration) -> String {
+    let mut supervisors = JoinSet::new();
     for machine in run.edges.iter().chain(&run.others) {
         for process in &machine.processes {
-            kept.spawn_local(process.clone().keep(run.clone()));
+            supervisors.spawn_local(process.clone().supervise(run.clone()));
         }
     }
     let endpoints = Endpoints::start(&run).await;
     let (clients, programs) = (Clients::new(), Programs::new(endpoints.clone()));
     let operator = Rc::new(Operator::start(&run, endpoints.clone()).await);
-    let mut playing = JoinSet::new();
-    (0..CLIENTS).for_each(|_| drop(playing.spawn_local(clients.clone().client(run.clone()))));
-    (0..PROGRAMS).for_each(|_| drop(playing.spawn_local(programs.clone().play(run.clone()))));
-    playing.spawn_local(operator.clone().change(run.clone()));
-    playing.spawn_local(faults::strike(run.clone()));
-    run.pass(busy).await;
-    run.is_over.set(true);
-    if seed.is_multiple_of(STRIKE_ALL_EVERY) {
-        faults::strike_all(&run);
+    let mut workloads = JoinSet::new();
+    (0..CLIENTS).for_each(|_| drop(workloads.spawn_local(clients.clone().client(run.clone()))));
+    (0..PROGRAMS).for_each(|_| drop(workloads.spawn_local(programs.clone().run(run.clone()))));
+    workloads.spawn_local(operator.clone().change_until_over(run.clone()));
+    workloads.spawn_local(faults::inject_faults(run.clone()));
+    run.sleep(traffic_time).await;
+    run.is_traffic_over.set(true);
+    if seed.is_multiple_of(KILL_ALL_EVERY) {
+        faults::kill_all(&run);
     }
-    while playing.join_next().await.is_some() {}
+    while workloads.join_next().await.is_some() {}
     operator.read_back(&run).await;
     programs.clone().read_back(run.clone()).await;
-    run.is_ending.set(true);
+    run.is_shutting_down.set(true);
     run.edges.iter().for_each(|machine| machine.terminate());
     run.others.iter().for_each(|machine| machine.terminate());
-    while kept.join_next().await.is_some() {}
-    clients.ledger.judge(&run, &endpoints);
+    while supervisors.join_next().await.is_some() {}
+    clients.ledger.check(&run, &endpoints);
     format!(
         "{}, {}, {}, {}",
-        judge_stops(&run),
+        check_stops(&run),
         clients.ledger.summary(),
         programs.summary(),
         operator.summary()
@@ -153,36 +153,37 @@
 }
 
 /// Each listener that was to close has closed, unless its process was killed in between; stops of proxies, in numbers.
-fn judge_stops(run: &Run) -> String {
+fn check_stops(run: &Run) -> String {
     let mut stops = 0;
-    let mut all = Drains { begun: 0, closed: 0, late: 0 };
+    let mut total = Drains { begun: 0, closed: 0, late: 0 };
     for edge in &run.edges {
         let drains = edge.drains();
         if drains.begun > drains.closed + edge.kills().len() {
             let (name, begun, closed) = (&edge.name, drains.begun, drains.closed);
-            run.fault(format!("{name}: {begun} listeners were to close, {closed} did"));
+            run.record_fault(format!("{name}: {begun} listeners were to close, {closed} did"));
         }
         stops += edge.terminations().len();
-        all.begun += drains.begun;
-        all.closed += drains.closed;
-        all.late += drains.late;
+        total.begun += drains.begun;
+        total.closed += drains.closed;
+        total.late += drains.late;
     }
     format!(
         "{stops} stops of proxies, {} of {} listeners closed, {} requests after it",
-        all.closed, all.begun, all.late
+        total.closed, total.begun, total.late
     )
 }
 
 /// Plays one seed; what it did, and what must not have been.
-fn run(seed: u64, ports: Ports, busy: Duration) -> (String, Vec<String>) {
+fn run_seed(seed: u64, ports: Ports, traffic_time: Duration) -> (String, Vec<String>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let run = prepare(seed, ports);
-    let playing = run.clone();
-    let played = LocalSet::new()
-        .block_on(&runtime, async { tokio::time::timeout(busy + PATIENCE, play(playing, seed, busy)).await });
+    let shared = run.clone();
+    let outcome = LocalSet::new().block_on(&runtime, async {
+        tokio::time::timeout(traffic_time + RUN_TIMEOUT, run_tier(shared, seed, traffic_time)).await
+    });
     run.edges.iter().chain(&run.others).for_each(|machine| machine.kill());
     let mut faults = run.faults.take();
-    let summary = played.unwrap_or_else(|_| {
+    let summary = outcome.unwrap_or_else(|_| {
         faults.push("the run stood still".into());
         String::new()
     });
@@ -194,25 +195,26 @@
 
 #[test]
 fn nothing_is_lost_over_stops_restarts_and_changes_that_overlap() {
-    let (count, first) = (variable("SOAK", SHORT), variable("SEED", 1));
-    let (lanes, busy) = (variable("SOAK_LANES", LANES), Duration::from_secs(variable("SOAK_S", BUSY_S)));
+    let (count, first) = (env_number("SOAK", DEFAULT_SEEDS), env_number("SEED", 1));
+    let (parallel, traffic_time) =
+        (env_number("SOAK_LANES", PARALLEL_RUNS), Duration::from_secs(env_number("SOAK_S", TRAFFIC_S)));
     let seeds = Mutex::new(first..first + count);
     let failed = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for ports in free_ports(lanes as u16) {
+        for ports in free_ports(parallel as u16) {
             let (seeds, failed) = (&seeds, &failed);
             scope.spawn(move || {
                 loop {
                     let Some(seed) = seeds.lock().expect("no panic").next() else { return };
                     let began = Instant::now();
-                    let (summary, faults) = run(seed, ports, busy);
+                    let (summary, faults) = run_seed(seed, ports, traffic_time);
                     println!(
                         "seed {seed}: {summary}, {:.1} s, {} faults",
                         began.elapsed().as_secs_f64(),
                         faults.len()
                     );
-                    let told = faults.iter().take(10).map(|fault| format!("seed {seed}: {fault}"));
-                    failed.lock().expect("no panic").extend(told);
+                    let reported = faults.iter().take(10).map(|fault| format!("seed {seed}: {fault}"));
+                    failed.lock().expect("no panic").extend(reported);
                 }
             });
         }
--- a/crates/onyxstile-system/tests/soak/operator.rs
+++ b/crates/onyxstile-system/tests/soak/operator.rs
@@ -8,14 +8,14 @@
 
 use crate::Run;
 use crate::endpoints::Endpoints;
-use crate::programs::TOKENS_AN_EVENT;
-use crate::support::tier::{Answer, ask, heartbeat};
+use crate::programs::TOKENS_PER_EVENT;
+use crate::support::tier::{Answer, heartbeat, send_request};
 
 /// How long a controller may take to answer.
-const PATIENCE: Duration = Duration::from_secs(2);
-const HEARTBEAT: Duration = Duration::from_millis(400);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 /// The longest pause between two changes, in ms.
-const PAUSE_MS: u64 = 250;
+const PAUSE_MAX_MS: u64 = 250;
 
 /// The operator.
 pub struct Operator {
@@ -51,7 +51,7 @@
         route("idle", &format!("/idle{revision}/"), "non_idempotent", "api", 1),
     ];
     let engine = format!(
-        r#"{{"capacity":400,"kv_capacity_tokens":1000,"chunk_size":{TOKENS_AN_EVENT},"models":[{{"name":"m"}}]}}"#
+        r#"{{"capacity":400,"kv_capacity_tokens":1000,"chunk_size":{TOKENS_PER_EVENT},"models":[{{"name":"m"}}]}}"#
     );
     format!(
         r#"{{"revision":{revision},"routes":[{}],"services":[{{"name":"api","health_check":"/healthz","max_connections":900,"protocol":"h1","tls":false}},{{"name":"llm","health_check":"/healthz","max_connections":900,"protocol":"h1","tls":false,"engine":{engine}}}],"limits":{LIMITS}}}"#,
@@ -59,17 +59,22 @@
     )
 }
 
-async fn call(run: &Run, method: &str, path: &str, base: u64, body: &str) -> Option<Answer> {
-    let controller = run.others[run.roll(3) as usize].host;
+async fn call_controller(run: &Run, method: &str, path: &str, base: u64, body: &str) -> Option<Answer> {
+    let controller = run.others[run.random_below(3) as usize].host;
     let to = SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, controller), run.ports.control);
     let base = base.to_string();
-    tokio::time::timeout(PATIENCE, ask(to, method, path, &[("if-match", base.as_str())], body)).await.ok()?
+    tokio::time::timeout(
+        REQUEST_TIMEOUT,
+        send_request(to, method, path, &[("if-match", base.as_str())], body),
+    )
+    .await
+    .ok()?
 }
 
 impl Operator {
     /// Sends the first configuration and begins the heartbeats.
     pub async fn start(run: &Rc<Run>, endpoints: Rc<Endpoints>) -> Operator {
-        tokio::task::spawn_local(beat(run.clone(), endpoints));
+        tokio::task::spawn_local(send_heartbeats(run.clone(), endpoints));
         let operator = Operator {
             sent: RefCell::default(),
             acknowledged: Cell::new(0),
@@ -77,28 +82,28 @@
             current: Cell::new(0),
         };
         while operator.acknowledged.get() == 0 {
-            operator.put(run, 1).await;
-            run.rest(50).await;
+            operator.put_configuration(run, 1).await;
+            run.random_pause(50).await;
         }
         operator
     }
 
     /// Changes it until the run is over.
-    pub async fn change(self: Rc<Operator>, run: Rc<Run>) {
-        while !run.is_over.get() {
-            run.rest(PAUSE_MS).await;
+    pub async fn change_until_over(self: Rc<Operator>, run: Rc<Run>) {
+        while !run.is_traffic_over.get() {
+            run.random_pause(PAUSE_MAX_MS).await;
             let next = self.sent.borrow().last_key_value().map_or(1, |(revision, _)| revision + 1);
-            self.put(&run, next).await;
+            self.put_configuration(&run, next).await;
             if self.current.get() != next {
-                self.read(&run).await;
+                self.read_configuration(&run).await;
             }
         }
     }
 
-    async fn put(&self, run: &Run, revision: u64) {
+    async fn put_configuration(&self, run: &Run, revision: u64) {
         let body = configuration(revision);
         self.sent.borrow_mut().insert(revision, body.clone());
-        let answer = call(run, "PUT", "/api/config", self.current.get(), &body).await;
+        let answer = call_controller(run, "PUT", "/api/config", self.current.get(), &body).await;
         if answer.is_some_and(|answer| answer.status == 200) {
             self.changes.set(self.changes.get() + 1);
             self.acknowledged.set(revision);
@@ -107,9 +112,9 @@
     }
 
     /// Reads the configuration once; it is at least what was acknowledged before, as it was sent.
-    async fn read(&self, run: &Run) -> bool {
+    async fn read_configuration(&self, run: &Run) -> bool {
         let least = self.acknowledged.get();
-        let answer = call(run, "GET", "/api/config", 0, "").await;
+        let answer = call_controller(run, "GET", "/api/config", 0, "").await;
         let Some(body) = answer.filter(|answer| answer.status == 200).and_then(|answer| answer.body) else {
             return false;
         };
@@ -117,17 +122,17 @@
         match sent.iter().find(|(_, text)| text.as_bytes() == body) {
             Some((revision, _)) if *revision >= least => self.current.set(*revision),
             Some((revision, _)) => {
-                run.fault(format!("revision {revision} was read after {least} was acknowledged"))
+                run.record_fault(format!("revision {revision} was read after {least} was acknowledged"))
             }
-            None => run.fault("a configuration was read that nobody sent".into()),
+            None => run.record_fault("a configuration was read that nobody sent".into()),
         }
         true
     }
 
     /// Reads it at the end of the run, until a controller is sure.
     pub async fn read_back(&self, run: &Run) {
-        while !self.read(run).await {
-            run.rest(50).await;
+        while !self.read_configuration(run).await {
+            run.random_pause(50).await;
         }
     }
 
@@ -138,16 +143,16 @@
 }
 
 /// Heartbeats of all endpoints, for as long as the run goes on.
-async fn beat(run: Rc<Run>, endpoints: Rc<Endpoints>) {
+async fn send_heartbeats(run: Rc<Run>, endpoints: Rc<Endpoints>) {
     let addresses = endpoints.addresses.borrow().clone();
     for sequence in 1.. {
         for (number, address) in addresses.iter().enumerate() {
             for service in SERVICES {
                 let body = heartbeat(service, *address, "ready", sequence)
                     .replace(r#""capacity":4"#, r#""capacity":400"#);
-                call(&run, "PUT", &format!("/api/instances/{service}-{number}"), 0, &body).await;
+                call_controller(&run, "PUT", &format!("/api/instances/{service}-{number}"), 0, &body).await;
             }
         }
-        run.pass(HEARTBEAT).await;
+        run.sleep(HEARTBEAT_INTERVAL).await;
     }
 }
--- a/crates/onyxstile-system/tests/soak/programs.rs
+++ b/crates/onyxstile-system/tests/soak/programs.rs
@@ -7,20 +7,20 @@
 use tokio::task::JoinSet;
 
 use crate::Run;
-use crate::connection::{Connection, HELD, Outcome};
+use crate::connection::{ANSWER_SLACK, Connection, Outcome};
 use crate::endpoints::{Endpoints, event};
 
 /// Tokens in one event, as the configuration says.
-pub const TOKENS_AN_EVENT: u64 = 3;
+pub const TOKENS_PER_EVENT: u64 = 3;
 /// Events of a turn at the most.
 const EVENTS_MAX: u64 = 6;
 /// Tokens that one turn generates at the most.
-const MOST: u64 = EVENTS_MAX * TOKENS_AN_EVENT;
+const TURN_TOKENS_MAX: u64 = EVENTS_MAX * TOKENS_PER_EVENT;
 /// Tokens of a program.
 const BUDGET: u64 = 240;
 const DEADLINE: Duration = Duration::from_millis(2500);
 /// After the stops a turn is served by this time.
-const RETURN: Duration = Duration::from_secs(20);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// All programs of a run.
 pub struct Programs {
@@ -28,7 +28,7 @@
     last: Cell<u64>,
     turns: Cell<u64>,
     spent: Cell<u64>,
-    begun: RefCell<Vec<Program>>,
+    started: RefCell<Vec<Program>>,
 }
 
 /// One program.
@@ -45,30 +45,31 @@
 
 /// What became of a turn.
 #[derive(PartialEq)]
-enum Fate {
-    Whole,
+enum TurnResult {
+    Complete,
     Refused,
-    Spent,
+    BudgetSpent,
     Broken,
 }
 
 impl Programs {
     /// None has begun.
     pub fn new(endpoints: Rc<Endpoints>) -> Rc<Programs> {
-        let (last, turns, spent, begun) = (Cell::new(0), Cell::new(0), Cell::new(0), RefCell::default());
-        Rc::new(Programs { endpoints, last, turns, spent, begun })
+        let (last, turns, spent, started) = (Cell::new(0), Cell::new(0), Cell::new(0), RefCell::default());
+        Rc::new(Programs { endpoints, last, turns, spent, started })
     }
 
     /// One program after the other.
-    pub async fn play(self: Rc<Programs>, run: Rc<Run>) {
-        while !run.is_over.get() {
+    pub async fn run(self: Rc<Programs>, run: Rc<Run>) {
+        while !run.is_traffic_over.get() {
             self.last.set(self.last.get() + 1);
             let name = format!("p{}", self.last.get());
             let mut program = Program { name, turns: 0, previous: None, received: 0, unsettled: 0 };
-            while !run.is_over.get() && self.turn(&run, &mut program).await != Fate::Spent {
-                run.rest(60).await;
+            while !run.is_traffic_over.get() && self.turn(&run, &mut program).await != TurnResult::BudgetSpent
+            {
+                run.random_pause(60).await;
             }
-            self.begun.borrow_mut().push(program);
+            self.started.borrow_mut().push(program);
         }
     }
 
@@ -76,14 +77,14 @@
     /// for a program that goes on from the last of them.
     pub async fn read_back(self: Rc<Programs>, run: Rc<Run>) {
         let mut reading = JoinSet::new();
-        for mut program in self.begun.take() {
+        for mut program in self.started.take() {
             let (programs, run) = (self.clone(), run.clone());
             reading.spawn_local(async move {
-                programs.go_on(&run, &mut program).await;
+                programs.continue_program(&run, &mut program).await;
                 if program.previous.is_some() {
                     let name = format!("{}-heir", program.name);
-                    let mut heir = Program { name, received: 0, unsettled: 0, ..program };
-                    programs.go_on(&run, &mut heir).await;
+                    let mut successor = Program { name, received: 0, unsettled: 0, ..program };
+                    programs.continue_program(&run, &mut successor).await;
                 }
             });
         }
@@ -91,101 +92,103 @@
     }
 
     /// A further turn is served, or refused for the budget: never for a turn before it that was acknowledged.
-    async fn go_on(&self, run: &Run, program: &mut Program) {
+    async fn continue_program(&self, run: &Run, program: &mut Program) {
         let served = async {
-            while !matches!(self.turn(run, program).await, Fate::Whole | Fate::Spent) {
-                run.rest(100).await;
+            while !matches!(self.turn(run, program).await, TurnResult::Complete | TurnResult::BudgetSpent) {
+                run.random_pause(100).await;
             }
         };
-        if tokio::time::timeout(RETURN, served).await.is_err() {
-            run.fault(format!("program {} was not served again", program.name));
+        if tokio::time::timeout(RECOVERY_TIMEOUT, served).await.is_err() {
+            run.record_fault(format!("program {} was not served again", program.name));
         }
     }
 
-    async fn turn(&self, run: &Run, program: &mut Program) -> Fate {
+    async fn turn(&self, run: &Run, program: &mut Program) -> TurnResult {
         program.turns += 1;
         let id = format!("{}t{}", program.name, program.turns);
-        let events = 1 + run.roll(EVENTS_MAX);
-        let edge = run.roll(run.edges.len() as u64) as usize;
-        let Ok(mut connection) = Connection::open(run.front(edge), false).await else { return Fate::Refused };
+        let events = 1 + run.random_below(EVENTS_MAX);
+        let edge = run.random_below(run.edges.len() as u64) as usize;
+        let Ok(mut connection) = Connection::open(run.front(edge), false).await else {
+            return TurnResult::Refused;
+        };
         let input = format!("said in {id};");
         let previous =
             program.previous.as_ref().map_or(String::new(), |(id, _)| format!("Previous: {id}\r\n"));
         let text = format!(
-            "POST /c/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: {id}\r\nDeadline-Ms: {}\r\nProgram: {}\r\nSession: {}\r\nBudget: {BUDGET}\r\nToken-Count: 10,{MOST}\r\nWork-Ms: {}\r\nEvents: {events}\r\n{previous}Content-Length: {}\r\n\r\n{input}",
+            "POST /c/x HTTP/1.1\r\nHost: a.example\r\nRequest-Id: {id}\r\nDeadline-Ms: {}\r\nProgram: {}\r\nSession: {}\r\nBudget: {BUDGET}\r\nToken-Count: 10,{TURN_TOKENS_MAX}\r\nWork-Ms: {}\r\nEvents: {events}\r\n{previous}Content-Length: {}\r\n\r\n{input}",
             DEADLINE.as_millis(),
             program.name,
             program.name,
-            run.roll(200),
+            run.random_below(200),
             input.len()
         );
         connection.send(text.as_bytes()).await;
-        let outcome = connection.answer(DEADLINE + HELD).await;
+        let outcome = connection.answer(DEADLINE + ANSWER_SLACK).await;
         self.turns.set(self.turns.get() + 1);
-        self.judge(run, program, &id, events, &input, outcome)
+        self.check(run, program, &id, events, &input, outcome)
     }
 
-    fn judge(
+    fn check(
         &self, run: &Run, program: &mut Program, id: &str, events: u64, input: &str, outcome: Outcome,
-    ) -> Fate {
-        let fault = |text: String| run.fault(format!("turn {id} {text}"));
+    ) -> TurnResult {
+        let fault = |text: String| run.record_fault(format!("turn {id} {text}"));
         let runs = self.endpoints.executions(id).len();
         if runs > 1 {
             fault(format!("ran {runs} times"));
         }
-        let fate = match outcome {
+        let result = match outcome {
             Outcome::Answered(answer) => match answer.status {
                 200 => {
-                    self.take(run, program, id, events, input, &answer.body);
-                    Fate::Whole
+                    self.accept(run, program, id, events, input, &answer.body);
+                    TurnResult::Complete
                 }
                 402 => {
                     self.spent.set(self.spent.get() + 1);
-                    let counted = program.received + program.unsettled * MOST;
-                    if runs > 0 || counted + MOST <= BUDGET {
+                    let counted = program.received + program.unsettled * TURN_TOKENS_MAX;
+                    if runs > 0 || counted + TURN_TOKENS_MAX <= BUDGET {
                         fault(format!("got 402 with {counted} of {BUDGET} tokens spent, ran {runs} times"));
                     }
-                    Fate::Spent
+                    TurnResult::BudgetSpent
                 }
-                503 if runs == 0 => Fate::Refused,
-                504 => Fate::Broken,
+                503 if runs == 0 => TurnResult::Refused,
+                504 => TurnResult::Broken,
                 status => {
                     let before = program.previous.as_ref().map(|(id, _)| id);
                     fault(format!("got {status} behind {before:?}, ran {runs} times"));
-                    Fate::Broken
+                    TurnResult::Broken
                 }
             },
             // An unknown part of its tokens may have come: it counts at its most.
-            Outcome::Closed(_) => Fate::Broken,
-            Outcome::Held => {
+            Outcome::Closed(_) => TurnResult::Broken,
+            Outcome::TimedOut => {
                 fault("was neither answered nor closed".into());
-                Fate::Broken
+                TurnResult::Broken
             }
         };
-        if fate == Fate::Broken {
+        if result == TurnResult::Broken {
             program.unsettled += 1;
         }
-        if program.received > BUDGET + MOST {
+        if program.received > BUDGET + TURN_TOKENS_MAX {
             fault(format!("made it {} tokens of {BUDGET}", program.received));
         }
-        fate
+        result
     }
 
-    fn take(&self, run: &Run, program: &mut Program, id: &str, events: u64, input: &str, body: &[u8]) {
-        let said = |part: fn((String, String)) -> String| -> String {
+    fn accept(&self, run: &Run, program: &mut Program, id: &str, events: u64, input: &str, body: &[u8]) {
+        let joined = |part: fn((String, String)) -> String| -> String {
             (1..=events).map(|number| part(event(id, number))).collect()
         };
-        if body != said(|event| event.0).as_bytes() {
-            run.fault(format!("turn {id} got {} bytes that are not its events", body.len()));
+        if body != joined(|event| event.0).as_bytes() {
+            run.record_fault(format!("turn {id} got {} bytes that are not its events", body.len()));
         }
         let mut history = program.previous.take().map_or(Vec::new(), |(_, history)| history);
         history.extend_from_slice(input.as_bytes());
         if self.endpoints.prompt(id).as_ref() != Some(&history) {
-            run.fault(format!("turn {id} ran on another history than the acknowledged one"));
+            run.record_fault(format!("turn {id} ran on another history than the acknowledged one"));
         }
-        history.extend_from_slice(said(|event| event.1).as_bytes());
+        history.extend_from_slice(joined(|event| event.1).as_bytes());
         program.previous = Some((id.to_owned(), history));
-        program.received += events * TOKENS_AN_EVENT;
+        program.received += events * TOKENS_PER_EVENT;
     }
 
     /// Programs, in numbers.
--- a/crates/onyxstile-system/tests/storage_plan.rs
+++ b/crates/onyxstile-system/tests/storage_plan.rs
@@ -6,7 +6,7 @@
 
 use onyxstile_system::storage_plan::{Observed, RetireRefusal, StoragePlan};
 use onyxstile_system::tolerance::Tolerance;
-use support::{ONE, place, plan, storage, storage_in};
+use support::{ONE_MACHINE, place, plan, storage, storage_in};
 
 fn observation(number: u8, dead_ms: Option<u64>, synced_epoch: u64) -> Observed {
     Observed { node: storage(number), dead_for: dead_ms.map(Duration::from_millis), synced_epoch }
@@ -19,13 +19,13 @@
 #[test]
 fn first_plan_waits_for_enough_machines_until_a_timeout() {
     let two = [observation(1, None, 0), observation(2, None, 0)];
-    assert_eq!(StoragePlan::first(&two, ONE, false), None);
+    assert_eq!(StoragePlan::first(&two, ONE_MACHINE, false), None);
     let three = [observation(1, None, 0), observation(2, None, 0), observation(3, None, 0)];
-    let first = StoragePlan::first(&three, ONE, false).expect("a plan");
+    let first = StoragePlan::first(&three, ONE_MACHINE, false).expect("a plan");
     assert_eq!((first.epoch, first.size, first.is_changing()), (1, 3, false));
-    let small = StoragePlan::first(&two, ONE, true).expect("a plan of the present machines");
+    let small = StoragePlan::first(&two, ONE_MACHINE, true).expect("a plan of the present machines");
     assert_eq!(names(&small), ["storage-1", "storage-2"]);
-    assert_eq!(StoragePlan::first(&two[..1], ONE, true), None, "one copy tolerates no loss");
+    assert_eq!(StoragePlan::first(&two[..1], ONE_MACHINE, true), None, "one copy tolerates no loss");
 }
 
 #[test]
@@ -37,12 +37,12 @@
         observation(3, None, 1),
         observation(4, None, 0),
     ];
-    let changing = before.next(&observed, ONE).expect("a change");
+    let changing = before.next(&observed, ONE_MACHINE).expect("a change");
     assert_eq!(names(&changing), ["storage-1", "storage-2", "storage-3", "storage-4"]);
     assert_eq!(changing.previous, before.current);
-    assert_eq!(changing.next(&observed, ONE), None, "the new member holds nothing yet");
+    assert_eq!(changing.next(&observed, ONE_MACHINE), None, "the new member holds nothing yet");
     observed.iter_mut().for_each(|observation| observation.synced_epoch = changing.epoch);
-    let ended = changing.next(&observed, ONE).expect("the end of the change");
+    let ended = changing.next(&observed, ONE_MACHINE).expect("the end of the change");
     assert_eq!((ended.epoch, ended.is_changing()), (3, false));
 }
 
@@ -59,7 +59,7 @@
         observation(4, Some(600), 3),
         observation(5, None, 3),
     ];
-    let next = grown.next(&observed, ONE).expect("a change");
+    let next = grown.next(&observed, ONE_MACHINE).expect("a change");
     assert_eq!(names(&next), ["storage-1", "storage-2", "storage-3", "storage-5"]);
 }
 
@@ -74,11 +74,14 @@
             observation(4, Some(dead), 1),
         ]
     };
-    assert_eq!(complete.next(&observed(5_000), ONE), None);
-    assert!(complete.next(&observed(30_000), ONE).is_some());
+    assert_eq!(complete.next(&observed(5_000), ONE_MACHINE), None);
+    assert!(complete.next(&observed(30_000), ONE_MACHINE).is_some());
     let least = plan(1, &[1, 2, 3], &[]);
     assert_eq!(
-        least.next(&[observation(1, None, 1), observation(2, None, 1), observation(3, Some(90_000), 1)], ONE),
+        least.next(
+            &[observation(1, None, 1), observation(2, None, 1), observation(3, Some(90_000), 1)],
+            ONE_MACHINE
+        ),
         None
     );
 }
@@ -93,7 +96,7 @@
         observation(3, None, 2),
         observation(4, Some(700), 0),
     ];
-    let next = changing.next(&observed, ONE).expect("a change");
+    let next = changing.next(&observed, ONE_MACHINE).expect("a change");
     assert_eq!(names(&next), ["storage-1", "storage-2", "storage-3"]);
     assert!(!next.is_changing(), "the members are unchanged");
 }
@@ -101,16 +104,16 @@
 #[test]
 fn retirement_completes_once_the_change_has_ended() {
     let complete = plan(1, &[1, 2, 3, 4], &[]);
-    assert_eq!(complete.retire("storage-9", ONE, &[]), Err(RetireRefusal::Unknown));
-    assert_eq!(plan(1, &[1, 2, 3], &[]).retire("storage-1", ONE, &[]), Err(RetireRefusal::TooFew));
-    let changing = complete.retire("storage-2", ONE, &[]).expect("may be retired").expect("a change");
-    assert_eq!(changing.retire("storage-2", ONE, &[]), Ok(None), "the same request again");
+    assert_eq!(complete.retire("storage-9", ONE_MACHINE, &[]), Err(RetireRefusal::Unknown));
+    assert_eq!(plan(1, &[1, 2, 3], &[]).retire("storage-1", ONE_MACHINE, &[]), Err(RetireRefusal::TooFew));
+    let changing = complete.retire("storage-2", ONE_MACHINE, &[]).expect("may be retired").expect("a change");
+    assert_eq!(changing.retire("storage-2", ONE_MACHINE, &[]), Ok(None), "the same request again");
     assert_eq!(changing.is_retirement_complete("storage-2"), Some(false));
     let observed: Vec<Observed> = (1..=4).map(|number| observation(number, None, changing.epoch)).collect();
-    let ended = changing.next(&observed, ONE).expect("the end of the change");
+    let ended = changing.next(&observed, ONE_MACHINE).expect("the end of the change");
     assert_eq!(ended.is_retirement_complete("storage-2"), Some(true));
     assert_eq!(ended.is_retirement_complete("storage-1"), None);
-    assert_eq!(ended.next(&observed, ONE), None, "a retired machine that still runs is ignored");
+    assert_eq!(ended.next(&observed, ONE_MACHINE), None, "a retired machine that still runs is ignored");
 }
 
 #[test]
@@ -122,11 +125,11 @@
         observation(3, Some(900), 0),
         observation(4, None, 2),
     ];
-    let ended = changing.next(&one_dead, ONE).expect("the end of the change");
+    let ended = changing.next(&one_dead, ONE_MACHINE).expect("the end of the change");
     assert!(!ended.is_changing());
     let alive_but_behind =
         [observation(1, None, 2), observation(2, None, 2), observation(3, None, 0), observation(4, None, 2)];
-    assert_eq!(changing.next(&alive_but_behind, ONE), None);
+    assert_eq!(changing.next(&alive_but_behind, ONE_MACHINE), None);
 }
 
 /// Two machines in zone a and one in each of b and c, with the loss of a zone to be tolerated.
@@ -142,7 +145,10 @@
 fn last_machine_of_a_zone_is_not_removed() {
     let (shared_zone, zone) = shared_zone();
     assert_eq!(shared_zone.retire("storage-3", zone, &[]), Err(RetireRefusal::TooFew));
-    assert!(shared_zone.retire("storage-3", ONE, &[]).is_ok(), "only the loss of machines is tolerated");
+    assert!(
+        shared_zone.retire("storage-3", ONE_MACHINE, &[]).is_ok(),
+        "only the loss of machines is tolerated"
+    );
     assert!(shared_zone.retire("storage-1", zone, &[]).is_ok(), "its zone has another machine");
     let observed: Vec<Observed> = (1..)
         .zip(&shared_zone.current)
@@ -153,7 +159,7 @@
         })
         .collect();
     assert_eq!(shared_zone.next(&observed, zone), None, "the machine in zone c is kept");
-    assert!(shared_zone.next(&observed, ONE).is_some());
+    assert!(shared_zone.next(&observed, ONE_MACHINE).is_some());
 }
 
 #[test]
@@ -170,7 +176,7 @@
         })
         .collect();
     assert!(changing.next(&observed, zone).is_some_and(|plan| !plan.is_changing()));
-    assert_eq!(changing.next(&observed, ONE), None, "the loss of two machines is not tolerated");
+    assert_eq!(changing.next(&observed, ONE_MACHINE), None, "the loss of two machines is not tolerated");
 }
 
 /// Guards against a loss of quorum that is permanent: machine 102 was dead while its replacement was a member or was
@@ -180,10 +186,10 @@
 fn retirement_is_refused_while_too_few_live_machines_would_remain() {
     let four = plan(3, &[1, 2, 3, 4], &[]);
     let dead = ["storage-2".to_owned()];
-    assert_eq!(four.retire("storage-1", ONE, &dead), Err(RetireRefusal::TooFewAlive));
-    assert!(four.retire("storage-1", ONE, &[]).is_ok());
+    assert_eq!(four.retire("storage-1", ONE_MACHINE, &dead), Err(RetireRefusal::TooFewAlive));
+    assert!(four.retire("storage-1", ONE_MACHINE, &[]).is_ok());
     let larger = plan(2, &[1, 2, 3, 4, 5], &[]);
-    assert!(larger.retire("storage-1", ONE, &dead).is_ok(), "three live machines remain");
+    assert!(larger.retire("storage-1", ONE_MACHINE, &dead).is_ok(), "three live machines remain");
 }
 
 #[test]
@@ -199,18 +205,18 @@
         ]
     };
     assert_eq!(
-        changing.next(&observed(None), ONE),
+        changing.next(&observed(None), ONE_MACHINE),
         None,
         "3 may return; 1 is removed with its disk at the end"
     );
-    assert!(changing.next(&observed(Some(5_000)), ONE).is_some_and(|plan| !plan.is_changing()));
+    assert!(changing.next(&observed(Some(5_000)), ONE_MACHINE).is_some_and(|plan| !plan.is_changing()));
 }
 
 #[test]
 fn retirement_is_refused_while_a_change_is_in_progress() {
     let changing = plan(2, &[1, 2, 3, 4], &[1, 2, 3]);
-    assert_eq!(changing.retire("storage-4", ONE, &[]), Err(RetireRefusal::Changing));
-    assert_eq!(changing.retire("storage-9", ONE, &[]), Err(RetireRefusal::Unknown));
+    assert_eq!(changing.retire("storage-4", ONE_MACHINE, &[]), Err(RetireRefusal::Changing));
+    assert_eq!(changing.retire("storage-9", ONE_MACHINE, &[]), Err(RetireRefusal::Unknown));
 }
 
 #[test]
@@ -219,14 +225,15 @@
     let mut wiped = observation(1, None, 0);
     wiped.node.disk = 7;
     let observed = [wiped.clone(), observation(2, None, 1), observation(3, None, 1)];
-    let changing = before.next(&observed, ONE).expect("a change");
+    let changing = before.next(&observed, ONE_MACHINE).expect("a change");
     assert_eq!(changing.current.iter().map(|node| node.disk).collect::<Vec<_>>(), [7, 1, 1]);
     assert_eq!(changing.previous, before.current);
     assert!(changing.has_same_placement(&before));
-    assert_eq!(changing.next(&observed, ONE), None, "it holds nothing yet");
+    assert_eq!(changing.next(&observed, ONE_MACHINE), None, "it holds nothing yet");
     wiped.synced_epoch = 2;
-    let ended =
-        changing.next(&[wiped, observation(2, None, 2), observation(3, None, 2)], ONE).expect("the end");
+    let ended = changing
+        .next(&[wiped, observation(2, None, 2), observation(3, None, 2)], ONE_MACHINE)
+        .expect("the end");
     assert!(!ended.is_changing());
     assert!(ended.includes(wiped_address(), 7) && !ended.includes(wiped_address(), 1));
 }
--- a/crates/onyxstile-system/tests/support/mod.rs
+++ b/crates/onyxstile-system/tests/support/mod.rs
@@ -20,7 +20,7 @@
 use onyxstile_system::tolerance::{Location, Tolerance};
 
 /// The loss of one machine.
-pub const ONE: Tolerance = Tolerance { machines: 1, zones: 0, regions: 0 };
+pub const ONE_MACHINE: Tolerance = Tolerance { machines: 1, zones: 0, regions: 0 };
 
 /// Sends a signal, by its name, to a process that is there.
 pub fn send_signal(process: u32, name: &str) {
@@ -29,7 +29,7 @@
 }
 
 /// A number from the environment, or the default.
-pub fn variable(name: &str, default: u64) -> u64 {
+pub fn env_number(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|value| value.parse().ok()).unwrap_or(default)
 }
 
--- a/crates/onyxstile-system/tests/support/search.rs
+++ b/crates/onyxstile-system/tests/support/search.rs
@@ -38,7 +38,7 @@
 /// Searches until a rule is violated, all states within the limits were visited, or `max_states` states were visited
 /// (`MODEL_STATES` overrides that number).
 pub fn search<M: Model>(start: M, fault: M::Fault, max_states: usize) -> SearchResult {
-    let max_states = super::variable("MODEL_STATES", max_states as u64) as usize;
+    let max_states = super::env_number("MODEL_STATES", max_states as u64) as usize;
     let mut visited = HashSet::from([start.digest()]);
     let mut level = vec![start];
     let mut depth = 0;
--- a/crates/onyxstile-system/tests/support/standalone_proxy.rs
+++ b/crates/onyxstile-system/tests/support/standalone_proxy.rs
@@ -15,7 +15,7 @@
 use onyxstile_system::wire::{Feed, PublishedState, Request};
 use tokio::task::JoinHandle;
 
-use super::tier::{self, LIMITS, ask, ask_until, free_ports, settings, start_process};
+use super::tier::{self, LIMITS, free_ports, request_until, send_request, settings, start_process};
 
 /// Longer than a proxy takes clients after SIGTERM (2.6 s).
 pub const UNTIL_LISTENER_CLOSE: Duration = Duration::from_millis(2605);
@@ -55,7 +55,7 @@
         }
         for proxy in &proxies {
             proxy.send_feed(configuration, endpoint).await;
-            ask_until(200, proxy.readiness, "GET", "/api/readyz", &[], "").await;
+            request_until(200, proxy.readiness, "GET", "/api/readyz", &[], "").await;
         }
         proxies
     }
@@ -106,7 +106,9 @@
 pub async fn terminate(proxies: &[StandaloneProxy]) {
     tier::terminate();
     for proxy in proxies {
-        while ask(proxy.readiness, "GET", "/api/readyz", &[], "").await.expect("an answer").status != 503 {
+        while send_request(proxy.readiness, "GET", "/api/readyz", &[], "").await.expect("an answer").status
+            != 503
+        {
             tokio::task::yield_now().await;
         }
     }
--- a/crates/onyxstile-system/tests/support/tier.rs
+++ b/crates/onyxstile-system/tests/support/tier.rs
@@ -19,7 +19,7 @@
 use super::send_signal;
 
 /// Bounds the whole story; it takes about two seconds.
-const PATIENCE: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Ports that all machines of a tier have in common.
 #[derive(Clone, Copy)]
@@ -31,19 +31,19 @@
     pub front: u16,
     pub(super) readiness: u16,
     /// Where proxies, controllers and storage machines tell their figures.
-    figures: u16,
+    metrics: u16,
     /// Where agents tell theirs.
-    agent_figures: u16,
+    agent_metrics: u16,
 }
 
 /// The path of figures.
-pub const FIGURES: &str = "/figures";
+pub const METRICS_PATH: &str = "/figures";
 
 /// The host of a core machine that stands in the zone of the first controller, and has no vote while that has one.
 pub const STANDBY: u8 = 8;
 
 /// Stories run one after the other: each takes the first ports that are free.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+static TIER_LOCK: Mutex<()> = Mutex::new(());
 
 /// Ports that are free on loopback, below those that outgoing connections take: for so many machines with ports of their own.
 pub fn free_ports(machines: u16) -> Vec<Ports> {
@@ -77,8 +77,8 @@
             control: internal + 2,
             front: internal + 3,
             readiness: internal + 4,
-            figures: internal + 5,
-            agent_figures: internal + 6,
+            metrics: internal + 5,
+            agent_metrics: internal + 6,
         }
     }
 }
@@ -122,11 +122,11 @@
 pub(super) fn settings(ports: &Ports, folder: &Path, name: &str, host: u8, class: &str) -> Settings {
     let text = settings_text(ports, folder, name, host, class);
     let settings = Settings::parse(Path::new("boot.toml"), &text).expect("valid settings");
-    Settings { metrics: Some(figures_at(ports.figures)), ..settings }
+    Settings { metrics: Some(metrics_address(ports.metrics)), ..settings }
 }
 
-fn figures_at(port: u16) -> MetricsAddress {
-    format!("{port}{FIGURES}").parse().expect("a port and a path")
+fn metrics_address(port: u16) -> MetricsAddress {
+    format!("{port}{METRICS_PATH}").parse().expect("a port and a path")
 }
 
 /// Runs a role with tasks of its own, which end with it as those of a process do; its connections close then.
@@ -152,14 +152,19 @@
         let settings = settings(ports, folder, &format!("storage-{host}"), host, "storage");
         start_process(async move { storage::run(settings, Signals::listen()).await.expect("storage runs") });
     }
-    start_relay(ports, folder);
+    start_proxy_and_agent(ports, folder);
 }
 
-fn start_relay(ports: &Ports, folder: &Path) {
-    let edge = settings(ports, folder, "edge-1", 1, "edge");
-    let beside = Settings { metrics: Some(figures_at(ports.agent_figures)), ..edge.clone() };
-    start_process(async move { proxy::run(edge, Signals::listen()).await.expect("the proxy runs") });
-    start_process(async move { agent::run(beside, Signals::listen()).await.expect("the agent runs") });
+fn start_proxy_and_agent(ports: &Ports, folder: &Path) {
+    let proxy_settings = settings(ports, folder, "edge-1", 1, "edge");
+    let agent_settings =
+        Settings { metrics: Some(metrics_address(ports.agent_metrics)), ..proxy_settings.clone() };
+    start_process(
+        async move { proxy::run(proxy_settings, Signals::listen()).await.expect("the proxy runs") },
+    );
+    start_process(
+        async move { agent::run(agent_settings, Signals::listen()).await.expect("the agent runs") },
+    );
 }
 
 /// An answer; no body if it broke off.
@@ -170,7 +175,7 @@
 }
 
 /// Sends one request on a connection of its own.
-pub async fn ask(
+pub async fn send_request(
     to: SocketAddrV4, method: &str, path: &str, headers: &[(&str, &str)], body: &str,
 ) -> Option<Answer> {
     let stream = TcpStream::connect(to).await.ok()?;
@@ -187,11 +192,11 @@
 }
 
 /// Asks until the answer has this status.
-pub async fn ask_until(
+pub async fn request_until(
     status: u16, to: SocketAddrV4, method: &str, path: &str, headers: &[(&str, &str)], body: &str,
 ) -> Answer {
     loop {
-        if let Some(answer) = ask(to, method, path, headers, body).await
+        if let Some(answer) = send_request(to, method, path, headers, body).await
             && answer.status.as_u16() == status
         {
             return answer;
@@ -225,13 +230,13 @@
         let ports = ports();
         start(&ports, &folder);
         let tier = Tier { ports, folder };
-        ask_until(200, tier.control(2), "PUT", "/api/config", &[("if-match", "0")], configuration).await;
+        request_until(200, tier.control(2), "PUT", "/api/config", &[("if-match", "0")], configuration).await;
         for (id, service, address) in endpoints {
-            let beat = heartbeat(service, *address, "ready", 1);
-            ask_until(200, tier.control(3), "PUT", &format!("/api/instances/{id}"), &[], &beat).await;
+            let body = heartbeat(service, *address, "ready", 1);
+            request_until(200, tier.control(3), "PUT", &format!("/api/instances/{id}"), &[], &body).await;
         }
         let readiness = SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 1), tier.ports.readiness);
-        ask_until(200, readiness, "GET", "/api/readyz", &[], "").await;
+        request_until(200, readiness, "GET", "/api/readyz", &[], "").await;
         tier
     }
 
@@ -239,7 +244,7 @@
     pub async fn start_proxy_alone(name: &str) -> Tier {
         let folder = std::env::temp_dir().join(format!("onyxstile-{name}-{}", std::process::id()));
         let ports = ports();
-        start_relay(&ports, &folder);
+        start_proxy_and_agent(&ports, &folder);
         Tier { ports, folder }
     }
 
@@ -254,13 +259,13 @@
     }
 
     /// Where the proxy, a controller or a storage machine tells its figures.
-    pub fn figures(&self, host: u8) -> SocketAddrV4 {
-        SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, host), self.ports.figures)
+    pub fn metrics(&self, host: u8) -> SocketAddrV4 {
+        SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, host), self.ports.metrics)
     }
 
     /// Where the agent tells its figures.
-    pub fn agent_figures(&self) -> SocketAddrV4 {
-        SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 1), self.ports.agent_figures)
+    pub fn agent_metrics(&self) -> SocketAddrV4 {
+        SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 1), self.ports.agent_metrics)
     }
 
     /// Where clients connect.
@@ -276,10 +281,10 @@
 }
 
 /// Runs a story; it fails if it does not end.
-pub fn play<F: Future<Output = ()>>(story: F) {
-    let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+pub fn run_test<F: Future<Output = ()>>(test: F) {
+    let _guard = TIER_LOCK.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let local = tokio::task::LocalSet::new();
-    let story = local.run_until(async { tokio::time::timeout(PATIENCE, story).await });
-    runtime.block_on(story).expect("the story ends in time");
+    let run = local.run_until(async { tokio::time::timeout(TEST_TIMEOUT, test).await });
+    runtime.block_on(run).expect("the story ends in time");
 }
--- a/crates/onyxstile-system/tests/tier_histories.rs
+++ b/crates/onyxstile-system/tests/tier_histories.rs
@@ -4,9 +4,9 @@
 mod support;
 
 use support::control_simulation::CATCH_UP;
+use support::env_number;
 use support::store_world::StoreFault;
 use support::tier_simulation::{COPIES_ONE_IN, TierSimulation};
-use support::variable;
 
 /// Runs one history. Returns the simulation with the violations found, and `Err` if service does not return.
 fn run_history(seed: u64, flaw: StoreFault) -> (TierSimulation, Result<(), String>) {
@@ -185,9 +185,9 @@
 
 #[test]
 fn no_acknowledged_data_is_lost_and_service_returns_under_combined_faults() {
-    let first = variable("FIRST", 0);
+    let first = env_number("FIRST", 0);
     let mut seen = std::collections::BTreeMap::new();
-    for seed in first..first + variable("HISTORIES", 20) {
+    for seed in first..first + env_number("HISTORIES", 20) {
         let (tier, returned) = run_history(seed, StoreFault::None);
         assert!(tier.violations.is_empty(), "seed {seed}: {:?}", tier.violations);
         assert!(
--- a/crates/onyxstile-system/tests/tolerance.rs
+++ b/crates/onyxstile-system/tests/tolerance.rs
@@ -9,7 +9,7 @@
 use onyxstile_system::tolerance::{Location, Tolerance};
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
-use support::{ONE, place, storage_in};
+use support::{ONE_MACHINE, place, storage_in};
 
 fn tolerance(machines: usize, zones: usize, regions: usize) -> Tolerance {
     Tolerance { machines, zones, regions }
@@ -36,7 +36,7 @@
 
 #[test]
 fn the_best_ranked_are_selected_if_no_zone_loss_is_tolerated() {
-    assert_eq!(select_group(ONE, "aaaab"), [0, 1, 2]);
+    assert_eq!(select_group(ONE_MACHINE, "aaaab"), [0, 1, 2]);
     assert_eq!(select_group(tolerance(2, 0, 0), "aaaabb"), [0, 1, 2, 3, 4]);
 }
 
@@ -65,7 +65,7 @@
         let lost = places(lost);
         tolerance.covers(&lost.iter().collect::<Vec<_>>())
     };
-    assert!(covers(ONE, "a") && !covers(ONE, "aa"));
+    assert!(covers(ONE_MACHINE, "a") && !covers(ONE_MACHINE, "aa"));
     assert!(covers(tolerance(1, 1, 0), "aaa") && !covers(tolerance(1, 1, 0), "ab"));
     assert!(covers(tolerance(1, 0, 1), "AabcA") && !covers(tolerance(1, 0, 1), "AaBa"));
     assert!(covers(Tolerance::default(), ""));
@@ -77,7 +77,7 @@
         let members = places(members);
         tolerance.keeps_majority(&members.iter().collect::<Vec<_>>())
     };
-    assert!(keeps(ONE, "aaa"), "no zone loss is tolerated");
+    assert!(keeps(ONE_MACHINE, "aaa"), "no zone loss is tolerated");
     assert!(keeps(tolerance(1, 1, 0), "abc") && !keeps(tolerance(1, 1, 0), "aabc"));
     assert!(keeps(tolerance(1, 1, 0), "aabbcc") && !keeps(tolerance(1, 1, 0), "aaabb"));
 }
@@ -100,7 +100,7 @@
     };
     assert_eq!(breaks(tolerance(1, 1, 0)), 0);
     assert_eq!(breaks(tolerance(2, 1, 0)), 0);
-    assert!(breaks(ONE) > 100, "only machine losses are tolerated");
+    assert!(breaks(ONE_MACHINE) > 100, "only machine losses are tolerated");
 }
 
 fn group_holds(
--- a/crates/onyxstile-system/tests/turn_model.rs
+++ b/crates/onyxstile-system/tests/turn_model.rs
@@ -17,7 +17,7 @@
 use onyxstile_system::program::{CopiedChanges, Progress, Quorum};
 use onyxstile_system::storage_plan::{Observed, StorageNode, StoragePlan};
 use support::search::{self, Model, SearchResult};
-use support::{ONE, address, plan, storage};
+use support::{ONE_MACHINE, address, plan, storage};
 
 const STATES: usize = 8_000;
 /// All are members and 1 leaves, or 2 to 4 are members and 1 joins.
@@ -101,7 +101,7 @@
 
 /// The group of a key among all four machines.
 fn group(key: &str) -> Vec<usize> {
-    let members = Quorum::new(&plan(1, &MACHINES, &[]), key, ONE).members();
+    let members = Quorum::new(&plan(1, &MACHINES, &[]), key, ONE_MACHINE).members();
     ALL.into_iter().filter(|index| members.contains(&address(MACHINES[*index]))).collect()
 }
 
@@ -196,7 +196,7 @@
             return;
         }
         self.acknowledged[index] = true;
-        let mut quorum = Quorum::new(&self.plan(self.sent_by), &key(), ONE);
+        let mut quorum = Quorum::new(&self.plan(self.sent_by), &key(), ONE_MACHINE);
         let acknowledged = (0..MACHINES.len()).filter(|index| self.acknowledged[*index]);
         self.is_acknowledged |= acknowledged.fold(false, |_, index| quorum.count(address(MACHINES[index])));
     }
@@ -238,7 +238,7 @@
         for (index, store) in self.stores.iter_mut().enumerate() {
             let plan = &plans[store.plan as usize];
             let own = (address(MACHINES[index]), store.disk);
-            let assessment = store.progress.assess(now, own, plan, store.is_complete, ONE);
+            let assessment = store.progress.assess(now, own, plan, store.is_complete, ONE_MACHINE);
             store.is_complete = assessment.is_complete;
             if assessment.is_synced {
                 store.synced = store.synced.max(store.plan);
@@ -251,7 +251,7 @@
     fn agree(&mut self, fault: Fault) {
         let newest = self.plan(self.agreed);
         if !self.is_retired
-            && let Ok(Some(next)) = newest.retire("storage-1", ONE, &[])
+            && let Ok(Some(next)) = newest.retire("storage-1", ONE_MACHINE, &[])
         {
             self.is_retired = true;
             self.take(next);
@@ -263,7 +263,7 @@
             synced_epoch: if fault == Fault::EndsAtOnce { store.plan } else { store.synced },
         };
         let observed: Vec<Observed> = self.stores.iter().enumerate().map(observe).collect();
-        if let Some(next) = newest.next(&observed, ONE) {
+        if let Some(next) = newest.next(&observed, ONE_MACHINE) {
             self.take(next);
         }
     }
@@ -285,7 +285,7 @@
             self.violation = Some("an acknowledged record is lost".into());
         }
         for epoch in 1..=self.agreed {
-            let mut quorum = Quorum::new(&self.plan(epoch), &key(), ONE);
+            let mut quorum = Quorum::new(&self.plan(epoch), &key(), ONE_MACHINE);
             let reports_absent = |index: &usize| {
                 let store = &self.stores[*index];
                 // A machine that is cut off from the others still answers relays.
