--- a/crates/onyxstile-system/src/role/proxy.rs
+++ b/crates/onyxstile-system/src/role/proxy.rs
@@ -106,11 +106,11 @@
     let feed = socket::listen(feed_address).map_err(|error| ("feed port", error))?;
     log::info!("proxy {} listening on {front}", settings.node_name);
     let proxy = Rc::new(Proxy::new(settings, clock));
-    let (feed_proxy, readiness_proxy, metrics_proxy) = (proxy.clone(), proxy.clone(), proxy.clone());
+    let (feed_proxy, probe_proxy, metrics_proxy) = (proxy.clone(), proxy.clone(), proxy.clone());
     tokio::select! {
         () = metrics::serve(proxy.settings.borrow().clone(), clock, move || metrics_proxy.metric_values()) => {}
         () = rpc::serve(feed, Rc::new(move |request| feed_proxy.clone().handle_agent_request(request))) => {}
-        () = http::serve(readiness, clock, Rc::default(), move |request| lifecycle::readiness(readiness_proxy.clone(), request)) => {}
+        () = http::serve(readiness, clock, Rc::default(), move |request| lifecycle::readiness(probe_proxy.clone(), request)) => {}
         () = lifecycle::accept(proxy.clone(), clients) => {}
         () = signals::reread(hangups, proxy.settings.clone(), |_| {}) => {}
         () = lifecycle::drain(proxy.clone(), termination) => log::info!("proxy drained"),
--- a/crates/onyxstile-system/src/role/proxy/call_sender.rs
+++ b/crates/onyxstile-system/src/role/proxy/call_sender.rs
@@ -153,8 +153,8 @@
             let due = proxy.clock.now() + timer(self.first_timer(), self.timer_firings);
             self.timer_firings += 1;
             let fires = match &self.destination_call {
-                // Only the back-off of a service delays the timer. The back-off of an endpoint does not, because other endpoints of
-                // the service may accept the call in the meantime.
+                // Only the back-off of a service delays the timer. The back-off of an endpoint does not, because other
+                // endpoints of the service may accept the call in the meantime.
                 Some(destination_call) if matches!(destination_call.key, DestinationKey::Service(_)) => {
                     destination_call.fires_at(due)
                 }
