--- a/crates/onyxstile-system/src/role/controller/stepping.rs
+++ b/crates/onyxstile-system/src/role/controller/stepping.rs
@@ -9,8 +9,8 @@
 use super::Node;
 use crate::control::{ElectorId, Message, Operation, Outcome};
 use crate::controller::Input;
-use crate::swim::{Class, Standing};
-use crate::tolerance::Place;
+use crate::swim::{Class, MemberState};
+use crate::tolerance::Location;
 use crate::wire::Request;
 
 /// How often the state machine's clock is looked at.
@@ -31,18 +31,18 @@
             }
             self.relays.borrow_mut().tick(self.clock.now());
             self.evidence.borrow_mut().tick(self.clock.now());
-            let is_whole = self.copies.borrow().is_whole();
+            let is_whole = self.copies.borrow().is_complete();
             self.kept_registry.keep(self.clock.now(), &self.registry.borrow(), is_whole);
             self.clone().plan();
             tokio::time::sleep(TICK).await;
         }
     }
 
-    fn live_controllers(&self) -> Vec<(ElectorId, Place)> {
+    fn live_controllers(&self) -> Vec<(ElectorId, Location)> {
         let swim = self.swim.borrow();
         let settings = self.settings.borrow();
         let is_live =
-            |member: &&crate::swim::Member| member.class == Class::Core && member.standing != Standing::Dead;
+            |member: &&crate::swim::Member| member.class == Class::Core && member.state != MemberState::Dead;
         swim.members()
             .filter(is_live)
             .map(|member| (ElectorId { ip: member.ip, disk: member.disk }, settings.location(&member.zone)))
--- a/crates/onyxstile-system/src/role/proxy.rs
+++ b/crates/onyxstile-system/src/role/proxy.rs
@@ -41,7 +41,7 @@
 use crate::clock::SteadyClock;
 use crate::configuration::{ClientLimits, Configuration};
 use crate::program::TurnCache;
-use crate::retry::{Destination, Law};
+use crate::retry::{Destination, RetryPolicy};
 use crate::settings::Settings;
 use crate::slots::Slots;
 use crate::storage_plan::StoragePlan;
@@ -89,7 +89,7 @@
     phase: Phase,
     counts: Counts,
     rng: RefCell<Pcg64Mcg>,
-    retry_policy: Law,
+    retry_policy: RetryPolicy,
 }
 
 /// Runs the role until SIGTERM, then until the accepted requests have been answered.
@@ -144,7 +144,7 @@
             phase: Phase::default(),
             counts: Counts::default(),
             rng: RefCell::new(Pcg64Mcg::new(u128::from(incarnation) << 1 | 1)),
-            retry_policy: Law::default(),
+            retry_policy: RetryPolicy::default(),
             settings: Rc::new(RefCell::new(settings)),
         }
     }
--- a/crates/onyxstile-system/src/role/proxy/attempt.rs
+++ b/crates/onyxstile-system/src/role/proxy/attempt.rs
@@ -129,7 +129,7 @@
         if let Some(load) = header_text(&head.headers, "server-load").and_then(Load::parse)
             && let Some(endpoint) = self.endpoints.borrow_mut().get_mut(key)
         {
-            endpoint.tell(self.clock.now(), load);
+            endpoint.note_load(self.clock.now(), load);
         }
         // The response belongs to another call, so the connection is out of sync and can't be reused.
         if header_text(&head.headers, "request-id").is_some_and(|id| id != call.id) {
@@ -185,7 +185,7 @@
         let mut endpoints = self.endpoints.borrow_mut();
         let Some(endpoint) = endpoints.get_mut(key) else { return };
         match attempt {
-            Attempt::Complete(head, _) if head.status.is_server_error() => endpoint.erred(now),
+            Attempt::Complete(head, _) if head.status.is_server_error() => endpoint.failed_with_error(now),
             Attempt::Complete(..) | Attempt::Streaming(_) => endpoint.succeeded(now, Some(now.since(began))),
             Attempt::NotExecuted => {}
             Attempt::NotSent => {
--- a/crates/onyxstile-system/src/role/proxy/call_sender.rs
+++ b/crates/onyxstile-system/src/role/proxy/call_sender.rs
@@ -156,7 +156,7 @@
                 // Only the back-off of a service delays the timer. The back-off of an endpoint does not, because other
                 // endpoints of the service may accept the call in the meantime.
                 Some(destination_call) if matches!(destination_call.key, DestinationKey::Service(_)) => {
-                    destination_call.fires_at(due)
+                    destination_call.fire_time(due)
                 }
                 _ => due,
             };
--- a/crates/onyxstile-system/src/role/proxy/conversation.rs
+++ b/crates/onyxstile-system/src/role/proxy/conversation.rs
@@ -8,7 +8,9 @@
 use super::call::{Call, TurnRequest};
 use super::chain::Chain;
 use super::turn_error::{PREPARE_TIMEOUT, TurnError};
-use crate::program::{Admission, ClaimSummary, Entry, Record, Turn, admit, fits, is_first, merge_claims};
+use crate::program::{
+    BudgetDecision, ClaimEntry, ClaimSummary, Record, Turn, admit, fits_budget, is_first, merge_claims,
+};
 use crate::role::membership::wall_clock_ms;
 use crate::wire::{Request, Response};
 
@@ -44,8 +46,8 @@
             return;
         }
         let settled = Some(self.delivered.get());
-        let entry = Entry { request: self.request.clone(), most: self.max_tokens, settled };
-        let record = Record::Entry { program: self.program.clone(), entry };
+        let entry = ClaimEntry { request: self.request.clone(), max_tokens: self.max_tokens, settled };
+        let record = Record::ClaimEntry { program: self.program.clone(), entry };
         let (proxy, key) = (self.proxy.clone(), self.program.clone());
         let work = proxy.phase.shutdown().enter();
         tokio::task::spawn_local(async move {
@@ -68,7 +70,7 @@
     /// Claims the maximum number of tokens that a turn may generate; `None` if the call is not a turn with a budget.
     pub(super) async fn claim(self: &Rc<Proxy>, call: &Call) -> Result<Option<Claim>, TurnError> {
         let Some(head) = &call.turn else { return Ok(None) };
-        let entry = Entry { request: call.id.clone(), most: head.max_tokens, settled: None };
+        let entry = ClaimEntry { request: call.id.clone(), max_tokens: head.max_tokens, settled: None };
         let mut claim = Claim {
             proxy: self.clone(),
             program: head.program.clone(),
@@ -88,29 +90,29 @@
             .collect();
         claim.is_first = is_first(&call.id, &summaries);
         let fits = match admit(head.budget, &call.id, head.max_tokens, &summaries) {
-            Admission::Fits => true,
-            Admission::Spent => false,
-            Admission::Unsure => self.fits_all_claims(head, &entry, timeout).await?,
+            BudgetDecision::Fits => true,
+            BudgetDecision::Exhausted => false,
+            BudgetDecision::Inconclusive => self.fits_all_claims(head, &entry, timeout).await?,
         };
         if fits { Ok(Some(claim)) } else { Err(TurnError::BudgetSpent) }
     }
 
     /// Whether a turn fits into the budget, computed from the individual claims of all members.
     async fn fits_all_claims(
-        self: &Rc<Proxy>, head: &TurnRequest, entry: &Entry, timeout: Duration,
+        self: &Rc<Proxy>, head: &TurnRequest, entry: &ClaimEntry, timeout: Duration,
     ) -> Result<bool, TurnError> {
-        let mut claims: Vec<Entry> = Vec::new();
+        let mut claims: Vec<ClaimEntry> = Vec::new();
         for response in self.reserve(head, entry, true, timeout).await? {
             if let Response::Claims(entries) = response {
                 merge_claims(&mut claims, entries);
             }
         }
-        Ok(fits(head.budget, &entry.request, entry.most, &claims))
+        Ok(fits_budget(head.budget, &entry.request, entry.max_tokens, &claims))
     }
 
     /// Writes a claim to a quorum and returns the members' responses.
     async fn reserve(
-        self: &Rc<Proxy>, head: &TurnRequest, entry: &Entry, wants_all: bool, timeout: Duration,
+        self: &Rc<Proxy>, head: &TurnRequest, entry: &ClaimEntry, wants_all: bool, timeout: Duration,
     ) -> Result<Vec<Response>, TurnError> {
         let (program, entry) = (head.program.clone(), entry.clone());
         let request =
--- a/crates/onyxstile-system/src/role/proxy/destination_call.rs
+++ b/crates/onyxstile-system/src/role/proxy/destination_call.rs
@@ -42,12 +42,12 @@
     /// Probability that the call is resent when its timer fires.
     pub(super) fn resend_probability(&self) -> f64 {
         let retry_policy = self.proxy.retry_policy.clone();
-        self.with(|destination, now| destination.chance(now, &retry_policy))
+        self.with(|destination, now| destination.resend_probability(now, &retry_policy))
     }
 
     /// Time at which a timer due at `due` may fire.
-    pub(super) fn fires_at(&self, due: crate::clock::Instant) -> crate::clock::Instant {
-        self.with(|destination, _| destination.fires_at(due))
+    pub(super) fn fire_time(&self, due: crate::clock::Instant) -> crate::clock::Instant {
+        self.with(|destination, _| destination.fire_time(due))
     }
 
     /// Waits for a slot for a send to `endpoint`; false if none is free before `expires_at`.
--- a/crates/onyxstile-system/src/role/proxy/metric_values.rs
+++ b/crates/onyxstile-system/src/role/proxy/metric_values.rs
@@ -53,8 +53,8 @@
         };
         let usable = each(&|service| endpoints.usable(service) as f64);
         metrics.gauges("endpoints_usable", "Endpoints that may be called.", "service", &usable);
-        let stretch = each(&|service| endpoints.stretch(now, service));
-        metrics.gauges("stretch", "Time of streams over their time at idle endpoints.", "service", &stretch);
+        let slowdown = each(&|service| endpoints.slowdown(now, service));
+        metrics.gauges("stretch", "Time of streams over their time at idle endpoints.", "service", &slowdown);
         let level = each(&|service| endpoints.level(service));
         metrics.gauges("admission_level", "Part of the programs that may begin.", "service", &level);
         let reading = each(&|service| endpoints.token_ms(service));
--- a/crates/onyxstile-system/src/role/proxy/target.rs
+++ b/crates/onyxstile-system/src/role/proxy/target.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::call_sender::CallSender;
-use crate::balance::{EndpointKey, Need};
+use crate::balance::{CallRequirements, EndpointKey};
 
 /// Silence timeout of a repeatable call, as a multiple of the endpoint's usual latency.
 const SILENCE_FACTOR: f64 = 5.0;
@@ -16,7 +16,7 @@
         let attempts_used_up = self.attempted.len() >= self.call.route.max_attempts as usize;
         let only = attempts_used_up.then_some(self.attempted.as_slice());
         let program = self.call.turn.as_ref().map(|turn| turn.program.as_str());
-        let mut need = Need {
+        let mut requirements = CallRequirements {
             service: &self.call.service,
             parts: &self.call.parts,
             program,
@@ -26,9 +26,9 @@
         };
         let endpoints = proxy.endpoints.borrow();
         let (now, fraction) = (proxy.clock.now(), proxy.random_fraction());
-        endpoints.choose(now, &need, fraction).or_else(|| {
-            need.excluded = &[];
-            endpoints.choose(now, &need, fraction)
+        endpoints.choose(now, &requirements, fraction).or_else(|| {
+            requirements.excluded = &[];
+            endpoints.choose(now, &requirements, fraction)
         })
     }
 
--- a/crates/onyxstile-system/tests/bad_clients.rs
+++ b/crates/onyxstile-system/tests/bad_clients.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use onyxstile_system::clock::Instant;
-use onyxstile_system::watch::{Bounds, Overdue, Watch};
+use onyxstile_system::connection_watchdog::{ConnectionTimeouts, ConnectionWatchdog, Overdue};
 use support::tier::{Tier, ask, play};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -96,31 +96,31 @@
 
 #[test]
 fn head_timeout_starts_at_first_byte_and_idle_timeout_at_response_end() {
-    let bounds = Bounds { head: Duration::from_millis(300), rest: Duration::from_millis(1000) };
-    let mut watch = Watch::new(at(0), bounds);
-    assert_eq!(watch.ends(), Some((at(1000), Overdue::Rest)));
+    let bounds = ConnectionTimeouts { head: Duration::from_millis(300), idle: Duration::from_millis(1000) };
+    let mut watch = ConnectionWatchdog::new(at(0), bounds);
+    assert_eq!(watch.deadline(), Some((at(1000), Overdue::Idle)));
     watch.bytes(at(900));
     watch.bytes(at(1100));
-    assert_eq!(watch.ends(), Some((at(1200), Overdue::Head)), "more bytes don't extend the head timeout");
+    assert_eq!(watch.deadline(), Some((at(1200), Overdue::Head)), "more bytes don't extend the head timeout");
     watch.request(at(1150));
     watch.bytes(at(1160));
-    assert_eq!(watch.ends(), None, "a response has no time limit");
+    assert_eq!(watch.deadline(), None, "a response has no time limit");
     watch.answered(at(9000));
-    assert_eq!(watch.ends(), Some((at(10_000), Overdue::Rest)));
+    assert_eq!(watch.deadline(), Some((at(10_000), Overdue::Idle)));
     watch.sent(at(12_000));
     assert_eq!(
-        watch.ends(),
-        Some((at(13_000), Overdue::Rest)),
+        watch.deadline(),
+        Some((at(13_000), Overdue::Idle)),
         "the idle time starts after the last bytes of the response"
     );
     watch.bytes(at(12_500));
     watch.sent(at(12_700));
     assert_eq!(
-        watch.ends(),
+        watch.deadline(),
         Some((at(13_000), Overdue::Head)),
         "the timeout of the next head starts when the response has been sent"
     );
     watch.request(at(12_800));
     watch.sent(at(12_900));
-    assert_eq!(watch.ends(), None, "a stream has no time limit");
+    assert_eq!(watch.deadline(), None, "a stream has no time limit");
 }
--- a/crates/onyxstile-system/tests/support/tier_simulation/copies.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation/copies.rs
@@ -18,7 +18,7 @@
                 let before = self.stores[&to].progress.source(from);
                 let changes = self.stores[&from].changes(before);
                 let (at, incarnation) =
-                    (now + u64::from(self.random_below(6)) * STEP, self.stores[&to].origin());
+                    (now + u64::from(self.random_below(6)) * STEP, self.stores[&to].incarnation());
                 self.copying.push(Copying { at, to, from, incarnation, before, changes });
             }
         }
@@ -40,7 +40,7 @@
         if !self.is_reachable(to) || !self.is_reachable(from) || self.random_below(20) == 0 {
             return;
         }
-        let Some(store) = self.stores.get(&to).filter(|store| store.origin() == incarnation) else {
+        let Some(store) = self.stores.get(&to).filter(|store| store.incarnation() == incarnation) else {
             return;
         };
         let compared_epoch = store.plan.epoch;
--- a/crates/onyxstile-system/tests/support/tier_simulation/plans.rs
+++ b/crates/onyxstile-system/tests/support/tier_simulation/plans.rs
@@ -17,7 +17,7 @@
             if let Some(plan) = plan(self, from).filter(|_| is_reached)
                 && let Some(store) = self.stores.get_mut(&ip)
             {
-                store.take_plan(&plan, self.flaw);
+                store.apply_plan(&plan, self.flaw);
                 self.reports.insert(ip, (store.synced_epoch(), self.control.now));
             }
         }
@@ -52,8 +52,8 @@
         let is_dead = |ip: &Ipv4Addr| self.dead_since.get(ip).is_some_and(|since| now >= since + DETECTION);
         let dead = self.stores.iter().filter(|(ip, _)| is_dead(ip)).map(|(_, store)| store.node.name.clone());
         let dead = dead.collect();
-        self.control.tell_dead_storage(head, dead);
-        let Some(controller) = self.control.controller_at(head).filter(|head| head.is_settled()) else {
+        self.control.set_dead_storage(head, dead);
+        let Some(controller) = self.control.controller_at(head).filter(|head| head.is_stable()) else {
             return;
         };
         let Some(state) = controller.committed_state() else { return };
@@ -71,7 +71,7 @@
                 self.count_event("plan changes ended");
             }
             self.planned_at = now;
-            self.control.order(head, Operation::Plan(Rc::new(plan)));
+            self.control.submit(head, Operation::Plan(Rc::new(plan)));
         }
     }
 
