--- a/crates/onyxstile-system/tests/soak/clients.rs
+++ b/crates/onyxstile-system/tests/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that use their connections in every way until the other side is gone.
+//! Clients that use their connections in various ways until the proxy closes them.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,16 +9,16 @@
 use crate::endpoints::{answer_body, event};
 use crate::ledger::{Ledger, Record};
 
-/// What most requests may take, as their clients say.
+/// Deadline of most requests.
 const DEADLINE_MS: u64 = 900;
-/// The most that a request is given; longer than any process has left once it is told to end.
+/// Longest deadline; longer than the time that any process has left after SIGTERM.
 const LONG_DEADLINE_MS: u64 = 8000;
-/// The longest that a client reads nothing in the middle of an answer, in ms.
+/// Longest pause in reading in the middle of an answer.
 const READ_PAUSE_MAX_MS: u64 = 2500;
-/// Bytes that never become a head are closed on by this time (`header_timeout_ms` and what a busy machine adds).
+/// Time within which a connection with an incomplete head is closed (`header_timeout_ms` plus a margin for a busy machine).
 const INCOMPLETE_HEAD_TIMEOUT: Duration = Duration::from_millis(3000 + 1500);
 
-/// What a request asks for, and how it is sent.
+/// Properties of a request and of the way it is sent.
 #[derive(Clone, Copy, Debug)]
 struct RequestSpec {
     path: &'static str,
@@ -27,13 +27,13 @@
     answer_bytes: usize,
     body_bytes: usize,
     events: Option<u64>,
-    /// Waits for a `100 Continue` before the body.
+    /// The client waits for a `100 Continue` before it sends the body.
     expects_continue: bool,
-    /// SentRequest in two parts with a rest between.
+    /// Sent in two parts with a pause between them.
     is_split: bool,
-    /// The client ends its half of the connection behind it.
+    /// The client closes its sending half after the request.
     half_closes: bool,
-    /// Reads nothing for a while in the middle of the answer.
+    /// Pause in reading in the middle of the answer.
     pause_ms: u64,
 }
 
@@ -50,13 +50,13 @@
     pause_ms: 0,
 };
 
-/// All clients of a run.
+/// The clients of a run.
 pub struct Clients {
     pub ledger: Ledger,
     last_id: Cell<u64>,
 }
 
-/// A request that was sent and not answered yet.
+/// A sent request without an answer so far.
 struct SentRequest {
     id: String,
     spec: RequestSpec,
@@ -64,16 +64,16 @@
     sent: Instant,
 }
 
-/// What came before a request on its connection, since it was sent.
+/// Events on the connection between the sending of a request and its turn to be answered.
 #[derive(Clone, Copy, Default)]
 struct Preceding {
-    /// The answer before it said that the connection closes, or did not come.
+    /// The preceding answer announced the close of the connection, or was not received.
     is_last_answer: bool,
-    /// How long its client read nothing in the middle of that.
+    /// Time for which the client paused reading in the preceding answer.
     pause_ms: u64,
 }
 
-/// Whether a request was answered, and what the answer said of its connection.
+/// Result of reading an answer: whether there is one, and whether it announces the close of the connection.
 #[derive(Clone, Copy, PartialEq)]
 enum ReceiveResult {
     Open,
@@ -81,7 +81,7 @@
     Unanswered,
 }
 
-/// What a client asks for next.
+/// A random request.
 fn random_request(run: &Run, is_slow: bool) -> RequestSpec {
     let plain = RequestSpec { work_ms: run.random_below(251), ..PLAIN_REQUEST };
     if is_slow {
@@ -116,12 +116,12 @@
 }
 
 impl Clients {
-    /// Nobody has asked yet.
+    /// Without any requests so far.
     pub fn new() -> Rc<Clients> {
         Rc::new(Clients { ledger: Ledger::default(), last_id: Cell::new(0) })
     }
 
-    /// One client after the other, each with a connection of its own.
+    /// Runs one client after the other, each with its own connection.
     pub async fn client(self: Rc<Clients>, run: Rc<Run>) {
         while !run.is_traffic_over.get() {
             let edge = run.random_below(run.edges.len() as u64) as usize;
@@ -136,14 +136,14 @@
         }
     }
 
-    /// Some requests on one connection.
+    /// Sends some requests on one connection.
     async fn use_connection(&self, run: &Run, edge: usize, mut connection: Connection, is_slow: bool) {
         if run.random_below(3) == 0 {
             run.random_pause(2500).await;
         }
         for _ in 0..=run.random_below(6) {
             let sent = self.send(run, &mut connection, random_request(run, is_slow)).await;
-            // A second request before the answer to the first, now and then longer than what is read ahead.
+            // Occasionally a second request is pipelined; some of these are longer than the read-ahead of the proxy.
             let second = if !sent.spec.half_closes && run.random_below(8) == 0 {
                 let body_bytes = if run.random_below(2) == 0 { 200_000 } else { 4 };
                 let spec = RequestSpec {
@@ -163,7 +163,7 @@
                 let before = Preceding { is_last_answer: result != ReceiveResult::Open, pause_ms };
                 result = self.receive(run, edge, &mut connection, second, before).await;
             }
-            // A connection is used until it is gone, also behind an answer that says that it closes.
+            // A connection is used until it is closed, even after an answer that announces the close.
             if result == ReceiveResult::Unanswered || !may_continue || run.is_traffic_over.get() {
                 return;
             }
@@ -205,7 +205,7 @@
         SentRequest { id, spec, began, sent: Instant::now() }
     }
 
-    /// Reads an answer.
+    /// Reads an answer and records the request in the ledger.
     async fn receive(
         &self, run: &Run, edge: usize, connection: &mut Connection, sent: SentRequest, before: Preceding,
     ) -> ReceiveResult {
@@ -216,7 +216,7 @@
         }
         let outcome = connection.answer(timeout).await;
         let result = match &outcome {
-            // Its body was not sent: what follows would be taken for that.
+            // The body was not sent, so the proxy would read the next request as the body.
             Outcome::Answered(answer) if spec.expects_continue && answer.status != 200 => {
                 ReceiveResult::Unanswered
             }
@@ -246,11 +246,11 @@
         result
     }
 
-    /// Bytes that never become a head: the connection is closed, at a drain as well.
+    /// Sends an incomplete head: the connection has to be closed, also during a drain.
     async fn send_incomplete_head(&self, run: &Run, mut connection: Connection) {
         connection.send(b"POST /r/x HTTP/1.1\r\nHost: a.example\r\nX: ").await;
         if matches!(connection.answer(INCOMPLETE_HEAD_TIMEOUT).await, Outcome::TimedOut) {
-            run.record_fault("a head that never ends was held".into());
+            run.record_fault("a connection with an incomplete head was not closed".into());
         }
     }
 }
--- a/crates/onyxstile-system/tests/soak/connection.rs
+++ b/crates/onyxstile-system/tests/soak/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: requests in any manner, and answers read as fast or slowly as the client likes.
+//! A client connection: requests sent in any manner, and answers read at any speed.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -9,37 +9,37 @@
 
 use crate::support::listener::field;
 
-/// An answer, or the end of the connection, comes by so long after the deadline.
+/// Time after the deadline within which an answer or the end of the connection has to arrive.
 pub const ANSWER_SLACK: Duration = Duration::from_millis(1500);
-/// What a client that reads slowly holds; the rest of an answer waits at the other side.
+/// Receive buffer of a client that reads slowly; the rest of an answer is queued at the proxy.
 const SMALL_BUFFER: u32 = 8 * 1024;
 
-/// A whole answer.
+/// A complete answer.
 pub struct Answer {
     pub status: u16,
     pub body: Vec<u8>,
-    /// Whether it says that the connection closes behind it.
+    /// Whether it announces that the connection closes after it.
     pub closes: bool,
 }
 
-/// What became of a request.
+/// Outcome of a request.
 pub enum Outcome {
-    /// A whole answer.
+    /// A complete answer arrived.
     Answered(Answer),
-    /// The connection ended before; so many bytes of an answer had come.
+    /// The connection ended after this many bytes of an incomplete answer.
     Closed(usize),
-    /// Neither came.
+    /// Neither an answer nor the end of the connection arrived in time.
     TimedOut,
 }
 
-/// One connection.
+/// A connection to a proxy.
 pub struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
 impl Connection {
-    /// Connects.
+    /// Connects, with a small receive buffer if `reads_slowly`.
     pub async fn open(to: SocketAddrV4, reads_slowly: bool) -> io::Result<Connection> {
         let socket = TcpSocket::new_v4()?;
         if reads_slowly {
@@ -48,22 +48,22 @@
         Ok(Connection { stream: socket.connect(to.into()).await?, buffer: Vec::new() })
     }
 
-    /// Sends bytes. What can't be sent shows in the answer that is missing.
+    /// Sends bytes. Errors are ignored: they show as a missing answer.
     pub async fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).await.ok();
     }
 
-    /// Sends nothing more.
+    /// Closes the sending half.
     pub async fn finish_sending(&mut self) {
         self.stream.shutdown().await.ok();
     }
 
-    /// Reads an answer; `timeout` bounds the wait for all of it.
+    /// Reads an answer; `timeout` limits the time for all of it.
     pub async fn answer(&mut self, timeout: Duration) -> Outcome {
         tokio::time::timeout(timeout, self.read_answer()).await.unwrap_or(Outcome::TimedOut)
     }
 
-    /// Reads the first bytes of an answer; whether there were any. An end shows again in the next read.
+    /// Reads the first bytes of an answer and returns whether there were any. The next read reports the end of the connection again.
     pub async fn read_some(&mut self, timeout: Duration) -> bool {
         let first = tokio::time::timeout(timeout, self.stream.read_buf(&mut self.buffer)).await;
         first.is_ok_and(|read| read.is_ok_and(|count| count > 0))
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Waits until the other side asks for the body with a `100 Continue`, closes, or answers; whether it received.
+    /// Waits until the proxy sends a `100 Continue`, answers or closes; returns whether it sent a `100 Continue`.
     pub async fn receives_continue(&mut self, timeout: Duration) -> bool {
         const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
         let received = async {
@@ -101,7 +101,7 @@
     }
 }
 
-/// The answer at the start of some bytes, and its length; none if it is not whole.
+/// The answer at the start of `bytes` and its length; `None` if it is incomplete.
 fn parse(bytes: &[u8]) -> Option<(Answer, usize)> {
     let end = bytes.windows(4).position(|part| part == b"\r\n\r\n")? + 4;
     let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
@@ -114,7 +114,7 @@
     Some((Answer { status, body, closes }, end + length))
 }
 
-/// A chunked body at the start of some bytes, and how many it takes.
+/// The chunked body at the start of `bytes` and its encoded length; `None` if it is incomplete.
 fn parse_chunked(bytes: &[u8]) -> Option<(Vec<u8>, usize)> {
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
--- a/crates/onyxstile-system/tests/soak/endpoints.rs
+++ b/crates/onyxstile-system/tests/soak/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints of a run: each does what a request's own headers ask of it, and notes what it ran and when.
+//! Endpoints of a run: each follows the instructions in the headers of a request, and records executions and their times.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,17 +12,17 @@
 use crate::Run;
 use crate::support::listener::{field, listen};
 
-/// Endpoints of each service.
+/// Number of endpoints of each service.
 const COUNT: usize = 2;
 
-/// One run of a request.
+/// One execution of a request.
 #[derive(Clone, Copy)]
 pub struct Execution {
-    /// When its answer was made; none while it works.
+    /// End of the execution; `None` while it is running.
     pub ended: Option<Instant>,
 }
 
-/// All endpoints of a run.
+/// The endpoints of a run.
 #[derive(Default)]
 pub struct Endpoints {
     pub addresses: RefCell<Vec<SocketAddrV4>>,
@@ -30,20 +30,20 @@
     prompts: RefCell<HashMap<String, Vec<u8>>>,
 }
 
-/// What the answer to a request of `length` bytes says.
+/// Body of the answer to a request, padded to `length` bytes.
 pub fn answer_body(id: &str, length: usize) -> Vec<u8> {
     let mut body = format!("for {id};").into_bytes();
     body.resize(length.max(body.len()), b'x');
     body
 }
 
-/// One event of a stream, and what it leaves in the program's history.
+/// One event of a stream, and the text that it adds to the history of the program.
 pub fn event(id: &str, number: u64) -> (String, String) {
     (format!("id: {number}\ndata: {id}-{number}\n\n"), format!("{id}-{number}\n"))
 }
 
 impl Endpoints {
-    /// Starts them.
+    /// Starts the endpoints.
     pub async fn start(run: &Rc<Run>) -> Rc<Endpoints> {
         let endpoints = Rc::new(Endpoints::default());
         for _ in 0..COUNT {
@@ -54,12 +54,12 @@
         endpoints
     }
 
-    /// What ran under an id.
+    /// Executions of the request `id`.
     pub fn executions(&self, id: &str) -> Vec<Execution> {
         self.executions.borrow().get(id).cloned().unwrap_or_default()
     }
 
-    /// The body that came with a turn.
+    /// Body of the request of a turn.
     pub fn prompt(&self, id: &str) -> Option<Vec<u8>> {
         self.prompts.borrow().get(id).cloned()
     }
@@ -74,7 +74,7 @@
                 self.prompts.borrow_mut().insert(id.clone(), body);
             } else if body != vec![b'b'; number("body-bytes").unwrap_or(0) as usize] {
                 run.record_fault(format!(
-                    "request {id} came with a body of {} bytes that nobody sent",
+                    "request {id} arrived with a body of {} bytes that was not sent",
                     body.len()
                 ));
             }
@@ -125,7 +125,7 @@
     stream.write_all(b"0\r\n\r\n").await
 }
 
-/// The next request, with its body; none once the caller has left.
+/// The next request with its body; `None` after the caller has closed the connection.
 async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
     loop {
         if let Some(end) = buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
--- a/crates/onyxstile-system/tests/soak/faults.rs
+++ b/crates/onyxstile-system/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Stops, kills and signals of a run, drawn one after the other; their effects overlap.
+//! Stops, kills and signals of a run in random order; their effects overlap.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,14 +6,14 @@
 use crate::Run;
 use crate::machine::Machine;
 
-/// The longest pause between two of them, in ms.
+/// Longest pause between two faults, in ms.
 const PAUSE_MS: u64 = 300;
-/// The longest pause between the stops of a zone's machines one after the other, in ms.
+/// Longest pause between two stops of machines of the zone, in ms.
 const STEP_MS: u64 = 1500;
-/// Core and storage machines bear the loss of one: the next goes only after all have run for so long.
+/// Core and storage machines tolerate the loss of one: the next is stopped only after all have run for this time.
 const STABLE_TIME: Duration = Duration::from_millis(2500);
 
-/// Strikes until the run is over.
+/// Injects faults until the traffic ends.
 pub async fn inject_faults(run: Rc<Run>) {
     while !run.is_traffic_over.get() {
         run.random_pause(PAUSE_MS).await;
@@ -44,7 +44,7 @@
     edge.terminate();
 }
 
-/// Stops the zone's machines one after the other.
+/// Stops the edge machines one after the other.
 async fn drain_zone(run: Rc<Run>) {
     for edge in &run.edges {
         if run.is_traffic_over.get() {
@@ -66,14 +66,14 @@
     change_grace(run, edge);
 }
 
-/// Stops one of the machines that count, if none is away.
+/// Stops one of the core and storage machines if all of them are stable.
 fn stop_one(run: &Run, how: impl Fn(&Machine)) {
     if run.others.iter().all(|machine| machine.is_stable(STABLE_TIME)) {
         how(&run.others[run.random_below(run.others.len() as u64) as usize]);
     }
 }
 
-/// Kills every process of the tier at one moment; all of them return.
+/// Kills all processes of the tier at once; all of them are restarted.
 pub fn kill_all(run: &Run) {
     run.edges.iter().chain(&run.others).for_each(|machine| machine.kill());
 }
--- a/crates/onyxstile-system/tests/soak/ledger.rs
+++ b/crates/onyxstile-system/tests/soak/ledger.rs
@@ -1,4 +1,4 @@
-//! Each request of a run is accounted for: what became of it, held against the rules.
+//! Records all requests of a run and checks their outcomes against the rules.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
@@ -8,50 +8,51 @@
 use crate::endpoints::{Endpoints, Execution};
 use crate::process::GRACE_PERIODS;
 
-/// A whole request that is closed without an answer is so within this time: `loss_slack_ms` of every deployment.
+/// Time within which a complete request that gets no answer has its connection closed: `loss_slack_ms` of every deployment.
 pub const LOSS_SLACK: Duration = Duration::from_millis(200);
-/// Endpoints that one try may run on where it may be repeated.
+/// Maximum number of executions of an idempotent request.
 const ATTEMPTS_MAX: usize = 2;
-/// A request that takes longer than the process has left may be cut by its end, if its endpoint works, or its client reads nothing,
-/// into this last part of the grace, and it was sent while the listener was open.
+/// Fraction of the grace period after which its last part begins. A request that takes longer than the process has left may be
+/// cut off by the end of the process, if its endpoint works, or its client pauses reading, into that part, and if it was sent while
+/// the listener was open.
 const LAST_PART_OF_GRACE: f64 = 5.0 / 6.0;
 
-/// One request.
+/// A request and its outcome.
 pub struct Record {
     pub id: String,
-    /// What was asked, for whoever reads of a fault.
+    /// Description of the request for fault reports.
     pub request: String,
     pub edge: usize,
-    /// When its first byte was sent, its last, and when its outcome was known.
+    /// When its first byte was sent, when its last byte was sent, and when its outcome was determined.
     pub began: Instant,
     pub sent: Instant,
     pub ended: Instant,
     pub deadline: Duration,
-    /// What the client itself let pass between two reads.
+    /// Time for which the client itself paused between two reads.
     pub paused: Duration,
     pub is_idempotent: bool,
-    /// The client had ended its own half of the connection, which counts as leaving.
+    /// The client had closed its sending half, which counts as a disconnect.
     pub has_half_closed: bool,
-    /// The answer before it on its connection had said that the connection closes, or had not come.
+    /// The preceding answer on its connection announced the close of the connection, or was not received.
     pub follows_last_answer: bool,
-    /// The whole body of the answer.
+    /// The complete body of the answer.
     pub expected: Vec<u8>,
     pub outcome: Outcome,
 }
 
-/// All requests.
+/// All requests of a run.
 #[derive(Default)]
 pub struct Ledger {
     records: RefCell<Vec<Record>>,
 }
 
 impl Ledger {
-    /// Adds one.
+    /// Adds a request.
     pub fn add(&self, record: Record) {
         self.records.borrow_mut().push(record);
     }
 
-    /// Holds all requests against the rules.
+    /// Checks all requests against the rules and records the violations.
     pub fn check(&self, run: &Run, endpoints: &Endpoints) {
         for record in &*self.records.borrow() {
             let executions = endpoints.executions(&record.id);
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Requests and answers, in numbers.
+    /// Counts of requests and outcomes.
     pub fn summary(&self) -> String {
         let records = self.records.borrow();
         let count =
@@ -80,13 +81,13 @@
 }
 
 impl Record {
-    /// What was going on at its machine, for whoever reads of a fault.
+    /// State of its machine at the time, for fault reports.
     fn circumstances(&self, run: &Run) -> String {
         let edge = &run.edges[self.edge];
         let since =
             |all: Vec<Instant>| all.into_iter().rfind(|at| *at <= self.ended).map(|at| self.ended - at);
         format!(
-            "at {} {:?} after the start, {:?} after its first byte; before its end: SIGTERM {:?}, a shorter grace {:?}, a kill {:?}; {}",
+            "at {} {:?} after the start, {:?} after its first byte; before its end: SIGTERM {:?}, a shorter grace period {:?}, a kill {:?}; {}",
             edge.name,
             self.ended - run.began,
             self.ended - self.began,
@@ -97,7 +98,7 @@
         )
     }
 
-    /// What breaks a rule in it.
+    /// The violated rule, if any.
     fn violation(&self, run: &Run, executions: &[Execution]) -> Option<String> {
         let runs = executions.len();
         if runs > if self.is_idempotent { ATTEMPTS_MAX } else { 1 } {
@@ -119,8 +120,8 @@
             Outcome::Closed(bytes) if runs > 0 => {
                 Some(format!("ran and was closed after {took:?} with {bytes} bytes of an answer"))
             }
-            // An answer that says so is the last: what was sent behind it is read by nobody (RFC 9112, 9.6). Behind one that did
-            // not come, which is a record of its own, there can be none.
+            // An answer that announces the close is the last: later requests on the connection are not read (RFC 9112, 9.6). After a
+            // missing answer, which has a record of its own, there can be none.
             Outcome::Closed(_) if self.follows_last_answer => None,
             Outcome::Closed(_) if took > LOSS_SLACK => {
                 Some(format!("was closed after {took:?} without an answer"))
@@ -129,15 +130,15 @@
         }
     }
 
-    /// Whether it was open at the machine as a kill struck that. The client sees that at once, unless it reads nothing.
+    /// Whether it was open at the machine when that was killed. The client detects a kill at once, unless it pauses reading.
     fn was_killed(&self, run: &Run) -> bool {
         let sees = LOSS_SLACK + self.paused;
         let is_hit = |at: &Instant| (self.began..=self.ended).contains(at) && self.ended - *at <= sees;
         run.edges[self.edge].kills().iter().any(is_hit)
     }
 
-    /// Whether its endpoint worked on, or its client read nothing, into the last part of a grace that had begun before the listener
-    /// closed, or that became shorter while it was under way.
+    /// Whether its endpoint worked, or its client paused reading, into the last part of a grace period that began before the listener
+    /// closed, or that was shortened during the request.
     fn outlasts_grace(&self, run: &Run, executions: &[Execution]) -> bool {
         let edge = &run.edges[self.edge];
         edge.terminations().iter().any(|terminated_at| {
--- a/crates/onyxstile-system/tests/soak/machine.rs
+++ b/crates/onyxstile-system/tests/soak/machine.rs
@@ -1,4 +1,4 @@
-//! Machines of a run, each with its settings file and its processes.
+//! Machines of a run, each with a settings file and its processes.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -7,10 +7,10 @@
 use crate::process::{GRACE_PERIODS, Process};
 use crate::support::tier::{Ports, settings_text};
 
-/// The zone that all edge machines share.
+/// Zone of all edge machines.
 const EDGE_ZONE: &str = "z10";
 
-/// One machine.
+/// A machine.
 pub struct Machine {
     pub name: String,
     pub host: u8,
@@ -19,13 +19,13 @@
     text: String,
 }
 
-/// The drains of a proxy, in all its lives.
+/// Drains of a proxy over all its incarnations.
 pub struct Drains {
-    /// Listeners that were to close.
+    /// Number of listeners whose close began.
     pub begun: usize,
-    /// Those that did.
+    /// Number of listeners that have closed.
     pub closed: usize,
-    /// Requests that came after the close, on connections taken up before.
+    /// Number of requests that arrived after the close, on connections accepted before.
     pub late: usize,
 }
 
@@ -54,7 +54,7 @@
         machine
     }
 
-    /// Writes its settings, with one of the graces.
+    /// Writes its settings file with the grace period `GRACE_PERIODS[index]`.
     pub fn set_grace_period(&self, index: usize) {
         let grace = GRACE_PERIODS[index];
         for process in &self.processes {
@@ -81,27 +81,27 @@
         self.processes.iter().for_each(|process| process.kill());
     }
 
-    /// When its first process was told to end.
+    /// Times of SIGTERM to its first process.
     pub fn terminations(&self) -> Vec<Instant> {
         self.processes[0].terminations.borrow().clone()
     }
 
-    /// When the grace of its first process became shorter while that drained.
+    /// Times at which the grace period of its first process was shortened during a drain.
     pub fn shortenings(&self) -> Vec<Instant> {
         self.processes[0].shortenings.borrow().clone()
     }
 
-    /// When its first process was killed.
+    /// Times at which its first process was killed.
     pub fn kills(&self) -> Vec<Instant> {
         self.processes[0].kills.borrow().clone()
     }
 
-    /// Whether all its processes have run for so long, untold to end.
+    /// Whether all its processes have run for at least `time` without SIGTERM.
     pub fn is_stable(&self, time: Duration) -> bool {
         self.processes.iter().all(|process| process.is_stable(time))
     }
 
-    /// What its first process logged of its drains.
+    /// Drains of its first process, from its log.
     pub fn drains(&self) -> Drains {
         let log = std::fs::read_to_string(&self.processes[0].log).unwrap_or_default();
         let count = |text: &str| log.lines().filter(|line| line.contains(text)).count();
--- a/crates/onyxstile-system/tests/soak/main.rs
+++ b/crates/onyxstile-system/tests/soak/main.rs
@@ -1,8 +1,9 @@
-//! Processes of the whole tier under clients, planned stops, restarts and changes in overlapping series, by the real clock.
+//! The whole tier in real processes under traffic, planned stops, restarts and configuration changes in overlapping series, in
+//! real time.
 //!
-//! A run is drawn by its seed. `SOAK=50 SEED=1` plays so many seeds from that on (`make soak`), `SOAK_S` gives each so many seconds
-//! of traffic, `SOAK_LANES` says how many go at once; without them it is a short form. A tier has three edge machines in one zone,
-//! three core and three storage machines: twelve processes. A run that shows a fault leaves its logs.
+//! The seed determines the random choices of a run. `SOAK=50 SEED=1` runs 50 seeds from 1 on (`make soak`), `SOAK_S` sets the
+//! seconds of traffic per seed and `SOAK_LANES` the number of parallel runs; the defaults give a short form. A tier has three edge
+//! machines in one zone, three core and three storage machines: twelve processes. The logs of a run that shows a fault are kept.
 
 #![allow(missing_docs)]
 
@@ -37,31 +38,31 @@
 use support::tier::{Ports, free_ports};
 use tokio::task::{JoinSet, LocalSet};
 
-/// Runs that go at once.
+/// Number of parallel runs.
 const PARALLEL_RUNS: u64 = 8;
-/// Seeds of the short form.
+/// Number of seeds of the short form.
 const DEFAULT_SEEDS: u64 = 16;
-/// Time of clients and faults in one run of the short form, in seconds.
+/// Duration of traffic and faults in one run of the short form, in seconds.
 const TRAFFIC_S: u64 = 8;
-/// A run that takes this much longer stands still.
+/// Time after the end of traffic within which a run has to finish.
 const RUN_TIMEOUT: Duration = Duration::from_secs(90);
-/// Clients of one run.
+/// Number of concurrent clients of a run.
 const CLIENTS: usize = 12;
-/// Programs that go on at once.
+/// Number of concurrent programs of a run.
 const PROGRAMS: usize = 3;
-/// Hosts of the edge machines.
+/// Last octets of the addresses of the edge machines.
 const EDGES: std::ops::RangeInclusive<u8> = 10..=12;
-/// One run in so many loses every process at one moment, at the end of its traffic.
+/// One run in this many ends its traffic with a simultaneous kill of all processes.
 const KILL_ALL_EVERY: u64 = 3;
 
-/// What all parts of a run share.
+/// State shared by all tasks of a run.
 pub struct Run {
     pub folder: PathBuf,
     pub ports: Ports,
     pub began: Instant,
-    /// No more traffic and faults.
+    /// Whether traffic and fault injection have ended.
     pub is_traffic_over: Cell<bool>,
-    /// Processes that end are not started again.
+    /// Whether processes that exit are no longer restarted.
     pub is_shutting_down: Cell<bool>,
     pub edges: Vec<Rc<Machine>>,
     pub others: Vec<Rc<Machine>>,
@@ -70,27 +71,27 @@
 }
 
 impl Run {
-    /// Where clients connect to an edge machine.
+    /// Address for clients of an edge machine.
     pub fn front(&self, edge: usize) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, self.edges[edge].host), self.ports.front)
     }
 
-    /// A number below `bound`.
+    /// A random number below `bound`.
     pub fn random_below(&self, bound: u64) -> u64 {
         u64::from(self.rng.borrow_mut().next_u32()) % bound
     }
 
-    /// Waits by the clock: the soak alone does, for its processes are real.
+    /// Sleeps in real time, because the processes are real. No other test does so.
     pub async fn sleep(&self, time: Duration) {
         tokio::time::sleep(time).await;
     }
 
-    /// Waits up to so many ms.
+    /// Sleeps for a random time of up to `max_ms`.
     pub async fn random_pause(&self, max_ms: u64) {
         self.sleep(Duration::from_millis(self.random_below(max_ms + 1))).await;
     }
 
-    /// Notes something that must not be.
+    /// Records a violation of a rule.
     pub fn record_fault(&self, text: String) {
         self.faults.borrow_mut().push(text);
     }
@@ -98,7 +99,7 @@
 
 fn prepare(seed: u64, ports: Ports) -> Rc<Run> {
     let folder = std::env::temp_dir().join(format!("onyxstile-soak-{}-{seed}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("folder created");
     let machine = |class: &'static str, host: u8| Rc::new(Machine::new(&ports, &folder, class, host));
     let others =
         (2..=4).map(|host| machine("core", host)).chain((5..=7).map(|host| machine("storage", host)));
@@ -152,7 +153,8 @@
     )
 }
 
-/// Each listener that was to close has closed, unless its process was killed in between; stops of proxies, in numbers.
+/// Checks that each listener whose close began has closed, unless its process was killed meanwhile. Returns a summary of the
+/// stops of proxies.
 fn check_stops(run: &Run) -> String {
     let mut stops = 0;
     let mut total = Drains { begun: 0, closed: 0, late: 0 };
@@ -160,7 +162,7 @@
         let drains = edge.drains();
         if drains.begun > drains.closed + edge.kills().len() {
             let (name, begun, closed) = (&edge.name, drains.begun, drains.closed);
-            run.record_fault(format!("{name}: {begun} listeners were to close, {closed} did"));
+            run.record_fault(format!("{name}: {begun} listeners began to close, {closed} closed"));
         }
         stops += edge.terminations().len();
         total.begun += drains.begun;
@@ -173,7 +175,7 @@
     )
 }
 
-/// Plays one seed; what it did, and what must not have been.
+/// Runs one seed and returns its summary and the faults found.
 fn run_seed(seed: u64, ports: Ports, traffic_time: Duration) -> (String, Vec<String>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let run = prepare(seed, ports);
@@ -184,7 +186,7 @@
     run.edges.iter().chain(&run.others).for_each(|machine| machine.kill());
     let mut faults = run.faults.take();
     let summary = outcome.unwrap_or_else(|_| {
-        faults.push("the run stood still".into());
+        faults.push("the run timed out".into());
         String::new()
     });
     if faults.is_empty() {
@@ -194,7 +196,7 @@
 }
 
 #[test]
-fn nothing_is_lost_over_stops_restarts_and_changes_that_overlap() {
+fn no_request_is_lost_during_overlapping_stops_restarts_and_changes() {
     let (count, first) = (env_number("SOAK", DEFAULT_SEEDS), env_number("SEED", 1));
     let (parallel, traffic_time) =
         (env_number("SOAK_LANES", PARALLEL_RUNS), Duration::from_secs(env_number("SOAK_S", TRAFFIC_S)));
--- a/crates/onyxstile-system/tests/soak/operator.rs
+++ b/crates/onyxstile-system/tests/soak/operator.rs
@@ -1,4 +1,4 @@
-//! The operator of a run, who changes the configuration again and again, and the heartbeats of its endpoints.
+//! The operator of a run, who changes the configuration repeatedly, and the heartbeats of the endpoints.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,25 +11,25 @@
 use crate::programs::TOKENS_PER_EVENT;
 use crate::support::tier::{Answer, heartbeat, send_request};
 
-/// How long a controller may take to answer.
+/// Timeout of a request to a controller.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// The longest pause between two changes, in ms.
+/// Longest pause between two changes, in ms.
 const PAUSE_MAX_MS: u64 = 250;
 
-/// The operator.
+/// State of the operator.
 pub struct Operator {
-    /// All that was sent, by revision.
+    /// All sent configurations by revision.
     sent: RefCell<BTreeMap<u64, String>>,
     acknowledged: Cell<u64>,
     changes: Cell<usize>,
     current: Cell<u64>,
 }
 
-/// The limits of clients: bodies of up to a megabyte.
+/// Limits for clients: bodies of up to a megabyte.
 const LIMITS: &str =
     r#"{"max_header_bytes":16384,"max_body_bytes":1048576,"header_timeout_ms":3000,"idle_timeout_ms":15000}"#;
-/// Services, each of which all endpoints serve: model endpoints, and the others.
+/// Services, each of which all endpoints serve: `llm` has model endpoints, `api` other ones.
 const SERVICES: [&str; 2] = ["api", "llm"];
 
 fn route(name: &str, path: &str, route_type: &str, service: &str, attempts: u32) -> String {
@@ -72,7 +72,7 @@
 }
 
 impl Operator {
-    /// Sends the first configuration and begins the heartbeats.
+    /// Sends the first configuration until it is acknowledged and starts the heartbeats.
     pub async fn start(run: &Rc<Run>, endpoints: Rc<Endpoints>) -> Operator {
         tokio::task::spawn_local(send_heartbeats(run.clone(), endpoints));
         let operator = Operator {
@@ -88,7 +88,7 @@
         operator
     }
 
-    /// Changes it until the run is over.
+    /// Changes the configuration until the traffic ends.
     pub async fn change_until_over(self: Rc<Operator>, run: Rc<Run>) {
         while !run.is_traffic_over.get() {
             run.random_pause(PAUSE_MAX_MS).await;
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Reads the configuration once; it is at least what was acknowledged before, as it was sent.
+    /// Reads the configuration once and returns whether there was an answer. It has to be a sent one, and no older than the newest
+    /// acknowledged one.
     async fn read_configuration(&self, run: &Run) -> bool {
         let least = self.acknowledged.get();
         let answer = call_controller(run, "GET", "/api/config", 0, "").await;
@@ -124,25 +125,25 @@
             Some((revision, _)) => {
                 run.record_fault(format!("revision {revision} was read after {least} was acknowledged"))
             }
-            None => run.record_fault("a configuration was read that nobody sent".into()),
+            None => run.record_fault("a configuration was read that was never sent".into()),
         }
         true
     }
 
-    /// Reads it at the end of the run, until a controller is sure.
+    /// Reads the configuration at the end of the run, until a controller answers.
     pub async fn read_back(&self, run: &Run) {
         while !self.read_configuration(run).await {
             run.random_pause(50).await;
         }
     }
 
-    /// Changes, in numbers.
+    /// Counts of changes.
     pub fn summary(&self) -> String {
         format!("{} of {} changes acknowledged", self.changes.get(), self.sent.borrow().len())
     }
 }
 
-/// Heartbeats of all endpoints, for as long as the run goes on.
+/// Sends the heartbeats of all endpoints until the run ends.
 async fn send_heartbeats(run: Rc<Run>, endpoints: Rc<Endpoints>) {
     let addresses = endpoints.addresses.borrow().clone();
     for sequence in 1.. {
--- a/crates/onyxstile-system/tests/soak/process.rs
+++ b/crates/onyxstile-system/tests/soak/process.rs
@@ -1,4 +1,4 @@
-//! Real processes that are started, terminated_at to end, killed, and started again.
+//! Real processes that are started, terminated, killed and restarted.
 
 use std::cell::{Cell, RefCell};
 use std::fs::File;
@@ -10,20 +10,20 @@
 use crate::Run;
 use crate::support::send_signal;
 
-/// Times from SIGTERM to the kill, one of which a machine's settings name at a time.
+/// Grace periods between SIGTERM and the kill; the settings of a machine name one of them.
 pub const GRACE_PERIODS: [Duration; 2] = [Duration::from_secs(3), Duration::from_secs(6)];
-/// What a busy machine may add to that before it counts as overstayed.
+/// Margin for a busy machine before a process counts as exceeding its grace period.
 const GRACE_SLACK: Duration = Duration::from_millis(1500);
-/// A process listens for signals by this time after its start; before, the system has not begun to run its code.
+/// Time after its start within which a process installs its signal handlers; this includes the loading of the program by the system.
 const STARTUP_TIMEOUT: Duration = Duration::from_millis(700);
-/// How often processes are looked at.
+/// Interval between checks of a process.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The longest pause before a process is started again, in ms.
+/// Longest pause before a process is restarted.
 const RESTART_PAUSE_MAX_MS: u64 = 400;
 const SIGHUP: u32 = 1;
 const SIGTERM: u32 = 15;
 
-/// One role of a machine, in one life after the other.
+/// The process of one role of a machine, over all its incarnations.
 pub struct Process {
     role: &'static str,
     settings: PathBuf,
@@ -32,10 +32,10 @@
     started: Cell<Option<Instant>>,
     has_handlers: Cell<bool>,
     pub terminated_at: Cell<Option<Instant>>,
-    /// What its settings name now, and what it goes by.
+    /// Grace period in the settings, and the one that applies to the running process.
     configured_grace: Cell<Duration>,
     effective_grace: Cell<Duration>,
-    /// When the grace became shorter while it was terminated_at to end, in all lives.
+    /// Times at which the grace period was shortened after SIGTERM, over all incarnations.
     pub shortenings: RefCell<Vec<Instant>>,
     pub terminations: RefCell<Vec<Instant>>,
     pub kills: RefCell<Vec<Instant>>,
@@ -44,7 +44,7 @@
 }
 
 impl Process {
-    /// One that is not started yet.
+    /// A process that is not started yet.
     pub fn new(role: &'static str, settings: &Path, log: PathBuf) -> Process {
         Process {
             role,
@@ -81,8 +81,8 @@
         *self.child.borrow_mut() = Some(child);
     }
 
-    /// Its settings name a grace now. A process that is terminated_at to end goes by the shortest since, but for one that is over as it is
-    /// configured_grace: that is not the kill's.
+    /// Notes a new grace period in the settings. After SIGTERM the shortest one since applies, except for one that has already elapsed:
+    /// the kill does not go by that.
     pub fn configure_grace(&self, grace: Duration) {
         self.configured_grace.set(grace);
         match self.terminated_at.get() {
@@ -95,14 +95,14 @@
         }
     }
 
-    /// Whether it has run for so long, untold to end.
+    /// Whether it has run for at least `time` without SIGTERM.
     pub fn is_stable(&self, time: Duration) -> bool {
         self.terminated_at.get().is_none()
             && self.started.get().is_some_and(|started| started.elapsed() > time)
     }
 
-    /// Whether the process has asked the system for a signal. Until the system has loaded the program it can't: a signal
-    /// ends it then, whatever the program is.
+    /// Whether the process has a handler for a signal. While the system loads the program there is none, and the signal ends the
+    /// process, whatever the program is.
     fn catches(&self, signal: u32) -> bool {
         let Some(id) = self.child.borrow().as_ref().map(Child::id) else { return false };
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Sends SIGHUP. A process that has not begun reads its settings anyway.
+    /// Sends SIGHUP if the process handles it. A process that has not begun reads its settings anyway.
     pub fn reload(&self) {
         if self.catches(SIGHUP) {
             self.signal("-HUP");
@@ -137,7 +137,7 @@
         self.signal("-TERM");
     }
 
-    /// Kills it.
+    /// Kills the process.
     pub fn kill(&self) {
         if let Some(child) = &mut *self.child.borrow_mut() {
             self.is_killed.set(true);
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Starts it, and starts it again after each end, until the run is over.
+    /// Starts the process, and restarts it after each exit until the run is shutting down.
     pub async fn supervise(self: Rc<Process>, run: Rc<Run>) {
         loop {
             self.start();
@@ -162,7 +162,7 @@
 
     async fn wait_for_exit(&self, run: &Run) -> ExitStatus {
         loop {
-            let waited = self.child.borrow_mut().as_mut().expect("it was started").try_wait();
+            let waited = self.child.borrow_mut().as_mut().expect("a started process").try_wait();
             if let Some(status) = waited.expect("its status") {
                 return status;
             }
@@ -171,17 +171,17 @@
         }
     }
 
-    /// Holds a process that runs against its times.
+    /// Checks that the process installs its signal handlers and exits in time.
     fn check_timing(&self, run: &Run) {
         let age = self.started.get().map(|started| started.elapsed()).unwrap_or_default();
         if !self.has_handlers.get() {
             self.has_handlers.set(self.catches(SIGHUP) && self.catches(SIGTERM));
             if !self.has_handlers.get() && age > STARTUP_TIMEOUT && !self.is_killed.get() {
-                run.record_fault(format!("{} does not listen for signals after {age:?}", self.log.display()));
+                run.record_fault(format!("{} has no signal handlers after {age:?}", self.log.display()));
                 self.has_handlers.set(true);
             }
         }
-        // A grace that is over as it is configured_grace can only be gone by from then on.
+        // A grace period that has already elapsed when it is configured counts from that moment.
         let ends = |terminated_at: Instant| {
             let by_grace = terminated_at + self.effective_grace.get();
             let shortened = self.shortenings.borrow().last().copied().filter(|at| *at > terminated_at);
@@ -189,7 +189,7 @@
         };
         let exceeds_grace = |terminated_at: Instant| Instant::now() > ends(terminated_at) + GRACE_SLACK;
         if !self.is_killed.get() && self.terminated_at.get().is_some_and(exceeds_grace) {
-            run.record_fault(format!("{} goes on after the grace", self.log.display()));
+            run.record_fault(format!("{} is still running after the grace period", self.log.display()));
             self.kill();
         }
     }
@@ -202,6 +202,6 @@
             return;
         }
         let age = self.started.get().map(|started| started.elapsed()).unwrap_or_default();
-        run.record_fault(format!("{} ended by itself after {age:?}: {status}", self.log.display()));
+        run.record_fault(format!("{} exited unexpectedly after {age:?}: {status}", self.log.display()));
     }
 }
--- a/crates/onyxstile-system/tests/soak/programs.rs
+++ b/crates/onyxstile-system/tests/soak/programs.rs
@@ -1,4 +1,4 @@
-//! Programs of a run: turns that go on from each other within a budget, and what was acknowledged of them read back at the end.
+//! Programs of a run: turns that continue each other within a budget. At the end the acknowledged turns are read back.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,19 +10,19 @@
 use crate::connection::{ANSWER_SLACK, Connection, Outcome};
 use crate::endpoints::{Endpoints, event};
 
-/// Tokens in one event, as the configuration says.
+/// Tokens per event, as in the configuration.
 pub const TOKENS_PER_EVENT: u64 = 3;
-/// Events of a turn at the most.
+/// Maximum number of events of a turn.
 const EVENTS_MAX: u64 = 6;
-/// Tokens that one turn generates at the most.
+/// Maximum number of tokens that a turn generates.
 const TURN_TOKENS_MAX: u64 = EVENTS_MAX * TOKENS_PER_EVENT;
-/// Tokens of a program.
+/// Token budget of a program.
 const BUDGET: u64 = 240;
 const DEADLINE: Duration = Duration::from_millis(2500);
-/// After the stops a turn is served by this time.
+/// Time within which a turn is served after the last fault.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// All programs of a run.
+/// The programs of a run.
 pub struct Programs {
     endpoints: Rc<Endpoints>,
     last: Cell<u64>,
@@ -31,19 +31,19 @@
     started: RefCell<Vec<Program>>,
 }
 
-/// One program.
+/// A program.
 struct Program {
     name: String,
     turns: u64,
-    /// The last turn that was answered whole, and all that was said up to its end.
+    /// The last turn that was answered completely, and the history up to its end.
     previous: Option<(String, Vec<u8>)>,
-    /// Tokens that came, in turns of all fates.
+    /// Received tokens, over turns of all results.
     received: u64,
-    /// Turns that ended neither whole nor refused: they count at their most.
+    /// Number of turns that were neither answered completely nor refused; each counts as the maximum number of tokens.
     unsettled: u64,
 }
 
-/// What became of a turn.
+/// Result of a turn.
 #[derive(PartialEq)]
 enum TurnResult {
     Complete,
@@ -53,13 +53,13 @@
 }
 
 impl Programs {
-    /// None has begun.
+    /// Without any programs so far.
     pub fn new(endpoints: Rc<Endpoints>) -> Rc<Programs> {
         let (last, turns, spent, started) = (Cell::new(0), Cell::new(0), Cell::new(0), RefCell::default());
         Rc::new(Programs { endpoints, last, turns, spent, started })
     }
 
-    /// One program after the other.
+    /// Runs one program after the other.
     pub async fn run(self: Rc<Programs>, run: Rc<Run>) {
         while !run.is_traffic_over.get() {
             self.last.set(self.last.get() + 1);
@@ -73,8 +73,8 @@
         }
     }
 
-    /// After the stops each program is asked to go on: its budget is as spent as it was, and all its acknowledged turns are there
-    /// for a program that goes on from the last of them.
+    /// Continues each program after the last fault: its spent budget is unchanged, and a program that starts from its last acknowledged
+    /// turn has the complete history.
     pub async fn read_back(self: Rc<Programs>, run: Rc<Run>) {
         let mut reading = JoinSet::new();
         for mut program in self.started.take() {
@@ -91,7 +91,7 @@
         while reading.join_next().await.is_some() {}
     }
 
-    /// A further turn is served, or refused for the budget: never for a turn before it that was acknowledged.
+    /// Continues until a turn is served, or refused because the budget is spent. A missing acknowledged turn is a fault.
     async fn continue_program(&self, run: &Run, program: &mut Program) {
         let served = async {
             while !matches!(self.turn(run, program).await, TurnResult::Complete | TurnResult::BudgetSpent) {
@@ -158,7 +158,7 @@
                     TurnResult::Broken
                 }
             },
-            // An unknown part of its tokens may have come: it counts at its most.
+            // An unknown part of the tokens may have been generated: the maximum is counted.
             Outcome::Closed(_) => TurnResult::Broken,
             Outcome::TimedOut => {
                 fault("was neither answered nor closed".into());
@@ -169,7 +169,7 @@
             program.unsettled += 1;
         }
         if program.received > BUDGET + TURN_TOKENS_MAX {
-            fault(format!("made it {} tokens of {BUDGET}", program.received));
+            fault(format!("brought the total to {} tokens of {BUDGET}", program.received));
         }
         result
     }
@@ -184,14 +184,14 @@
         let mut history = program.previous.take().map_or(Vec::new(), |(_, history)| history);
         history.extend_from_slice(input.as_bytes());
         if self.endpoints.prompt(id).as_ref() != Some(&history) {
-            run.record_fault(format!("turn {id} ran on another history than the acknowledged one"));
+            run.record_fault(format!("turn {id} ran with a history that differs from the acknowledged one"));
         }
         history.extend_from_slice(joined(|event| event.1).as_bytes());
         program.previous = Some((id.to_owned(), history));
         program.received += events * TOKENS_PER_EVENT;
     }
 
-    /// Programs, in numbers.
+    /// Counts of turns and programs.
     pub fn summary(&self) -> String {
         format!("{} turns of {} programs, {} spent", self.turns.get(), self.last.get(), self.spent.get())
     }
--- a/crates/onyxstile-system/tests/story.rs
+++ b/crates/onyxstile-system/tests/story.rs
@@ -1,4 +1,4 @@
-//! The whole tier on loopback: three controllers, three storage machines, a proxy with its agent, and a stand-in endpoint.
+//! The whole tier on loopback: three controllers, three storage machines, a proxy with its agent, and a simulated endpoint.
 
 mod support;
 
@@ -17,7 +17,7 @@
 use support::tier::{Answer, LIMITS, STANDBY, Tier, heartbeat, request_until, run_test, send_request};
 use tokio::net::TcpListener;
 
-/// What the stand-in endpoint was asked.
+/// Requests that the simulated endpoint received.
 #[derive(Default)]
 struct EndpointLog {
     bodies: BTreeMap<String, Vec<u8>>,
@@ -25,7 +25,7 @@
     refusals_left: u32,
 }
 
-/// A stand-in for a model endpoint: three events that say how long the prompt was.
+/// Starts a simulated model endpoint. It answers with three events that contain the length of the prompt.
 async fn start_endpoint(log: Rc<RefCell<EndpointLog>>) -> SocketAddrV4 {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
     let port = listener.local_addr().expect("its address").port();
@@ -37,7 +37,7 @@
                 let service = service_fn(|request| serve_model(log.clone(), request));
                 let serving = hyper::server::conn::http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service);
-                // A proxy closes connections as it likes.
+                // The proxy may close connections at any time.
                 serving.await.ok();
             });
         }
@@ -52,7 +52,7 @@
         request.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned()
     };
     let (id, instance) = (text("request-id"), text("expect-instance"));
-    let body = request.into_body().collect().await.expect("a whole body").to_bytes();
+    let body = request.into_body().collect().await.expect("a complete body").to_bytes();
     let mut log = log.borrow_mut();
     if log.refusals_left > 0 {
         log.refusals_left -= 1;
@@ -76,7 +76,7 @@
     )
 }
 
-/// The tier with one stand-in for a model.
+/// A tier with one simulated model endpoint.
 struct Scenario {
     tier: Tier,
     log: Rc<RefCell<EndpointLog>>,
@@ -108,26 +108,26 @@
         send_request(self.tier.front(), "POST", "/chat/x", &headers, body).await.expect("an answer")
     }
 
-    /// Sends a turn until something other than "come back later" is the answer.
+    /// Sends a turn until the answer is not a 503 with a `Retry-After`.
     async fn turn_until_served(&self, id: &str, previous: Option<&str>, budget: &str, body: &str) -> Answer {
         loop {
             let answer = self.turn(id, previous, budget, body).await;
             if answer.status != StatusCode::SERVICE_UNAVAILABLE {
                 return answer;
             }
-            assert!(answer.headers.contains_key("retry-after"), "what did not run says when to come back");
+            assert!(answer.headers.contains_key("retry-after"), "a refused turn has a Retry-After");
         }
     }
 }
 
 #[test]
-fn turns_are_kept_and_go_on_from_each_other_within_their_budget() {
+fn turns_are_stored_and_continue_each_other_within_the_budget() {
     run_test(async {
         let tier = Scenario::start("turns").await;
         let first = tier.turn_until_served("r1", None, "27", "hello").await;
         assert_eq!(first.status, StatusCode::OK);
         assert_eq!(first.headers["response-seal"], "seal");
-        let events = first.body.expect("a whole answer");
+        let events = first.body.expect("a complete answer");
         assert_eq!(events, "id: 1\ndata: 5-1\n\nid: 2\ndata: 5-2\n\nid: 3\ndata: 5-3\n\n");
         let second = tier.turn_until_served("r2", Some("r1"), "27", "again").await;
         assert_eq!((second.status, second.body.is_some()), (StatusCode::OK, true));
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn refused_calls_go_again_and_a_drained_endpoint_gets_nothing() {
+fn refused_calls_are_retried_and_a_drained_endpoint_receives_none() {
     run_test(async {
         let tier = Scenario::start("drain").await;
         tier.log.borrow_mut().refusals_left = 2;
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn the_operator_gets_clear_answers_from_every_controller() {
+fn operator_requests_get_definite_answers_from_every_controller() {
     run_test(async {
         let tier = Scenario::start("operator").await;
         let put = async |host: u8, base: &str, body: String| {
@@ -189,16 +189,16 @@
                 }
             }
         };
-        assert_eq!(put(2, "0", configuration(5)).await, 200, "the same change again");
+        assert_eq!(put(2, "0", configuration(5)).await, 200, "a repeated change");
         assert_eq!(put(3, "0", configuration(6)).await, 412, "another version is current");
         assert_eq!(
             put(4, "5", configuration(5).replace("chat", "talk")).await,
             400,
-            "not above the current one"
+            "not above the current revision"
         );
         assert_eq!(put(2, "5", "{".into()).await, 400);
         assert_eq!(put(3, "5", configuration(9)).await, 200);
-        assert_eq!(put(4, "0", configuration(5)).await, 200, "also when it has been replaced");
+        assert_eq!(put(4, "0", configuration(5)).await, 200, "a repeated change that has been replaced");
         for host in 2..=4 {
             let read = request_until(200, tier.control(host), "GET", "/api/config", &[], "").await;
             assert_eq!(read.body.expect("a body"), configuration(9));
@@ -210,9 +210,9 @@
     });
 }
 
-/// Relays ask electors only: an endpoint that registered at a standby would be known to nobody.
+/// Relays poll electors only: an endpoint that registered at a standby would reach no relay.
 #[test]
-fn a_standby_sends_endpoints_to_an_elector_and_passes_operations_on() {
+fn a_standby_redirects_endpoints_to_an_elector_and_forwards_operations() {
     run_test(async {
         let scenario = Scenario::start("standby").await;
         scenario.tier.start_standby();
--- a/crates/onyxstile-system/tests/support/mod.rs
+++ b/crates/onyxstile-system/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests share.
+//! Support code shared by the tests.
 #![allow(dead_code)]
 
 pub mod control_simulation;
@@ -19,16 +19,16 @@
 use onyxstile_system::storage_plan::{StorageNode, StoragePlan};
 use onyxstile_system::tolerance::{Location, Tolerance};
 
-/// The loss of one machine.
+/// Tolerance of the loss of one machine.
 pub const ONE_MACHINE: Tolerance = Tolerance { machines: 1, zones: 0, regions: 0 };
 
-/// Sends a signal, by its name, to a process that is there.
+/// Sends the signal `name` to a running process.
 pub fn send_signal(process: u32, name: &str) {
     let sent = std::process::Command::new("kill").args([name, &process.to_string()]).status();
     assert!(sent.expect("kill runs").success());
 }
 
-/// A number from the environment, or the default.
+/// A number from an environment variable, or the default.
 pub fn env_number(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|value| value.parse().ok()).unwrap_or(default)
 }
@@ -43,27 +43,27 @@
     [address(1), address(2), address(3)]
 }
 
-/// A controller with the disk of the first start.
+/// A controller with the disk identifier of its first start.
 pub fn elector(number: u8) -> ElectorId {
     ElectorId { ip: address(number).octets(), disk: bootstrap_disk(address(number)) }
 }
 
-/// A zone of a region.
+/// Location in a zone of a region.
 pub fn place(region: &str, zone: &str) -> Location {
     Location { region: region.into(), zone: zone.into() }
 }
 
-/// A storage machine in a zone of its own.
+/// A storage machine in its own zone.
 pub fn storage(number: u8) -> StorageNode {
     storage_in(number, place("r", &format!("z{number}")))
 }
 
-/// A storage machine.
+/// A storage machine at a location.
 pub fn storage_in(number: u8, location: Location) -> StorageNode {
     StorageNode { name: format!("storage-{number}"), ip: address(number).octets(), disk: 1, location }
 }
 
-/// A plan with these machines, and those before a change.
+/// A plan with the current members and those before the change.
 pub fn plan(epoch: u64, current: &[u8], previous: &[u8]) -> StoragePlan {
     StoragePlan {
         epoch,
--- a/crates/onyxstile-system/tests/support/tier.rs
+++ b/crates/onyxstile-system/tests/support/tier.rs
@@ -1,4 +1,4 @@
-//! All four roles on loopback in one process, and clients that ask them.
+//! All four roles on loopback in one process, and a client for them.
 
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener as StdListener};
 use std::path::{Path, PathBuf};
@@ -18,34 +18,34 @@
 
 use super::send_signal;
 
-/// Bounds the whole story; it takes about two seconds.
+/// Timeout of a test, which takes about two seconds.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Ports that all machines of a tier have in common.
+/// Ports that all machines of a tier share.
 #[derive(Clone, Copy)]
 pub struct Ports {
     internal: u16,
-    /// Where controllers listen for operators and endpoints.
+    /// Port of controllers for operators and endpoints.
     pub control: u16,
-    /// Where proxies listen for clients.
+    /// Port of proxies for clients.
     pub front: u16,
     pub(super) readiness: u16,
-    /// Where proxies, controllers and storage machines tell their figures.
+    /// Metrics port of proxies, controllers and storage machines.
     metrics: u16,
-    /// Where agents tell theirs.
+    /// Metrics port of agents.
     agent_metrics: u16,
 }
 
-/// The path of figures.
+/// Path of the metrics.
 pub const METRICS_PATH: &str = "/figures";
 
-/// The host of a core machine that stands in the zone of the first controller, and has no vote while that has one.
+/// Host of a core machine in the zone of the first controller, which has no vote while the first controller has one.
 pub const STANDBY: u8 = 8;
 
-/// Stories run one after the other: each takes the first ports that are free.
+/// Tests run one after the other, because each uses the first free ports.
 static TIER_LOCK: Mutex<()> = Mutex::new(());
 
-/// Ports that are free on loopback, below those that outgoing connections take: for so many machines with ports of their own.
+/// Free loopback ports, below the range of outgoing connections, for this many machines with their own ports.
 pub fn free_ports(machines: u16) -> Vec<Ports> {
     const LOWEST: u32 = 18_000;
     const SPAN: u32 = 12_000;
@@ -66,7 +66,7 @@
 }
 
 impl Ports {
-    /// Where the proxy of a machine hears its agent, on a host with several.
+    /// Feed address of the proxy of a machine, on a host with several machines.
     pub fn feed(&self, host: u8) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, host), self.internal + 1)
     }
@@ -83,7 +83,7 @@
     }
 }
 
-/// The text of a machine's settings file.
+/// Contents of the settings file of a machine.
 pub fn settings_text(ports: &Ports, folder: &Path, name: &str, host: u8, class: &str) -> String {
     let Ports { internal, control, front, readiness, .. } = ports;
     let seeds: Vec<String> = (2..=4).map(|seed| format!("\"127.0.0.{seed}:{control}\"")).collect();
@@ -118,7 +118,7 @@
     )
 }
 
-/// The settings of a machine that tells its figures.
+/// Settings of a machine that publishes metrics.
 pub(super) fn settings(ports: &Ports, folder: &Path, name: &str, host: u8, class: &str) -> Settings {
     let text = settings_text(ports, folder, name, host, class);
     let settings = Settings::parse(Path::new("boot.toml"), &text).expect("valid settings");
@@ -129,12 +129,12 @@
     format!("{port}{METRICS_PATH}").parse().expect("a port and a path")
 }
 
-/// Runs a role with tasks of its own, which end with it as those of a process do; its connections close then.
+/// Runs a role in its own task set: when the role ends, its tasks end and its connections close, as when a process exits.
 pub(super) fn start_process(role: impl Future<Output = ()> + 'static) -> JoinHandle<()> {
     tokio::task::spawn_local(async move { LocalSet::new().run_until(role).await })
 }
 
-/// Sends SIGTERM to this process, whose roles all hear it.
+/// Sends SIGTERM to this process; all its roles receive it.
 pub fn terminate() {
     send_signal(std::process::id(), "-TERM");
 }
@@ -167,14 +167,14 @@
     );
 }
 
-/// An answer; no body if it broke off.
+/// An answer; `body` is `None` if it was truncated.
 pub struct Answer {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Option<Bytes>,
 }
 
-/// Sends one request on a connection of its own.
+/// Sends one request on its own connection; `None` if there is no answer.
 pub async fn send_request(
     to: SocketAddrV4, method: &str, path: &str, headers: &[(&str, &str)], body: &str,
 ) -> Option<Answer> {
@@ -191,7 +191,7 @@
     Some(Answer { status: head.status, headers: head.headers, body })
 }
 
-/// Asks until the answer has this status.
+/// Repeats a request until the answer has this status.
 pub async fn request_until(
     status: u16, to: SocketAddrV4, method: &str, path: &str, headers: &[(&str, &str)], body: &str,
 ) -> Answer {
@@ -205,11 +205,11 @@
     }
 }
 
-/// The limits of a configuration.
+/// Limits of a configuration.
 pub const LIMITS: &str =
     r#"{"max_header_bytes":16384,"max_body_bytes":65536,"header_timeout_ms":3000,"idle_timeout_ms":15000}"#;
 
-/// What an endpoint registers.
+/// Body of a heartbeat of an endpoint.
 pub fn heartbeat(service: &str, endpoint: SocketAddrV4, state: &str, sequence: u64) -> String {
     format!(
         r#"{{"service":"{service}","address":"{endpoint}","zone":"z1","revision":"v1","capacity":4,"state":"{state}","warmup_left_ms":0,"sequence":{sequence}}}"#
@@ -223,7 +223,7 @@
 }
 
 impl Tier {
-    /// Starts all roles, has a configuration taken and endpoints registered, and waits until the proxy is ready.
+    /// Starts all roles, sends a configuration, registers endpoints, and waits until the proxy is ready.
     pub async fn start(name: &str, configuration: &str, endpoints: &[(&str, &str, SocketAddrV4)]) -> Tier {
         let folder = std::env::temp_dir().join(format!("onyxstile-{name}-{}", std::process::id()));
         std::fs::remove_dir_all(&folder).ok();
@@ -240,7 +240,7 @@
         tier
     }
 
-    /// Starts a proxy and its agent, and no other machine.
+    /// Starts only a proxy and its agent.
     pub async fn start_proxy_alone(name: &str) -> Tier {
         let folder = std::env::temp_dir().join(format!("onyxstile-{name}-{}", std::process::id()));
         let ports = ports();
@@ -248,27 +248,27 @@
         Tier { ports, folder }
     }
 
-    /// Starts a further core machine, at the host [`STANDBY`].
+    /// Starts another core machine at the host [`STANDBY`].
     pub fn start_standby(&self) {
         start_controller(&self.ports, &self.folder, STANDBY);
     }
 
-    /// The control address of a controller.
+    /// Control address of a controller.
     pub fn control(&self, host: u8) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, host), self.ports.control)
     }
 
-    /// Where the proxy, a controller or a storage machine tells its figures.
+    /// Metrics address of the proxy, a controller or a storage machine.
     pub fn metrics(&self, host: u8) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, host), self.ports.metrics)
     }
 
-    /// Where the agent tells its figures.
+    /// Metrics address of the agent.
     pub fn agent_metrics(&self) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 1), self.ports.agent_metrics)
     }
 
-    /// Where clients connect.
+    /// Address for clients.
     pub fn front(&self) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 1), self.ports.front)
     }
@@ -280,11 +280,11 @@
     }
 }
 
-/// Runs a story; it fails if it does not end.
+/// Runs a test; it fails if it does not end within the timeout.
 pub fn run_test<F: Future<Output = ()>>(test: F) {
     let _guard = TIER_LOCK.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let local = tokio::task::LocalSet::new();
     let run = local.run_until(async { tokio::time::timeout(TEST_TIMEOUT, test).await });
-    runtime.block_on(run).expect("the story ends in time");
+    runtime.block_on(run).expect("the test ends within the timeout");
 }
