--- a/crates/onyxstile-system/tests/controller_end.rs
+++ b/crates/onyxstile-system/tests/controller_end.rs
@@ -1,7 +1,7 @@
-//! The end of a controller that is told to end.
+//! Shutdown of a controller after SIGTERM.
 //!
-//! Seen in a review after a proxy had cut a request at its end: a controller ends as soon as SIGTERM comes, whatever it is
-//! answering. An operator whose change was half read, or read and not yet acknowledged, got a closed connection.
+//! Found by code review: a controller exited immediately after SIGTERM, even while it was answering. The connection of an operator
+//! whose change was partially received, or received and not acknowledged yet, was closed without an answer.
 
 mod support;
 
@@ -13,9 +13,9 @@
     format!(r#"{{"revision":{revision},"routes":[],"services":[],"limits":{LIMITS}}}"#)
 }
 
-/// The answer's fate is open: a majority may be gone. That there is one is what counts.
+/// The status is not checked, because a majority may be gone. There has to be an answer.
 #[test]
-fn a_change_that_is_half_read_at_sigterm_is_answered() {
+fn a_partially_received_change_at_sigterm_is_answered() {
     run_test(async {
         let tier = Tier::start("controller-end", &configuration(5), &[]).await;
         let control = tier.control(2);
@@ -28,13 +28,13 @@
         let (first, rest) = body.split_at(body.len() / 2);
         let mut operator = TcpStream::connect(control).await.expect("a connection");
         operator.write_all(format!("{head}{first}").as_bytes()).await.expect("it is sent");
-        // Another's answer shows that the controller has had turns enough to read the head.
+        // The answer to another request shows that the controller has had time to read the head.
         request_until(200, control, "GET", "/api/config", &[], "").await;
         terminate();
         while TcpStream::connect(control).await.is_ok() {
             tokio::task::yield_now().await;
         }
-        // The controller may have gone.
+        // The controller may have exited.
         operator.write_all(rest.as_bytes()).await.ok();
         let mut answer = String::new();
         operator.read_to_string(&mut answer).await.ok();
--- a/crates/onyxstile-system/tests/metrics.rs
+++ b/crates/onyxstile-system/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of each role, as whoever watches a tier reads them.
+//! Metrics of each role as a monitoring system reads them.
 
 mod support;
 
@@ -8,31 +8,31 @@
 use onyxstile_system::settings::{MetricsAddress, MetricsAddressError};
 use support::tier::{LIMITS, METRICS_PATH, Tier, request_until, run_test, send_request};
 
-/// The text of a role's figures.
+/// The metrics text of a role.
 async fn read(from: SocketAddrV4) -> String {
     let answer = request_until(200, from, "GET", METRICS_PATH, &[], "").await;
     assert!(
         answer.headers["content-type"].to_str().expect("text").starts_with("application/openmetrics-text")
     );
-    String::from_utf8(answer.body.expect("a whole answer").to_vec()).expect("text")
+    String::from_utf8(answer.body.expect("a complete answer").to_vec()).expect("text")
 }
 
-/// The value of a figure, if it is told; `name` with its labels.
-fn told(text: &str, name: &str) -> Option<f64> {
+/// Value of a metric, if present; `name` includes the labels.
+fn find_value(text: &str, name: &str) -> Option<f64> {
     let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '))?;
     Some(line.parse().expect("a number"))
 }
 
-/// The value of a figure.
+/// Value of a metric that has to be present.
 fn value(text: &str, name: &str) -> f64 {
-    told(text, name).unwrap_or_else(|| panic!("no {name} in\n{text}"))
+    find_value(text, name).unwrap_or_else(|| panic!("no {name} in\n{text}"))
 }
 
-/// Reads until a figure has this value; one of a service is there only once an endpoint of it is known.
+/// Reads until a metric has this value. A metric of a service is present only after an endpoint of the service is known.
 async fn read_until(from: SocketAddrV4, name: &str, wanted: f64) -> String {
     loop {
         let text = read(from).await;
-        if told(&text, name) == Some(wanted) {
+        if find_value(&text, name) == Some(wanted) {
             return text;
         }
         tokio::task::yield_now().await;
@@ -46,10 +46,10 @@
 }
 
 #[test]
-fn each_role_tells_how_far_it_is() {
+fn each_role_publishes_its_progress() {
     run_test(async {
-        let nobody = "127.0.0.1:9".parse().expect("an address");
-        let tier = Tier::start("figures", &configuration(), &[("i-1", "api", nobody)]).await;
+        let unused = "127.0.0.1:9".parse().expect("an address");
+        let tier = Tier::start("figures", &configuration(), &[("i-1", "api", unused)]).await;
         for host in 2..=4 {
             let text = read_until(tier.metrics(host), "onyxstile_endpoints{stage=\"ready\"}", 1.0).await;
             assert!(text.ends_with("# EOF\n"));
@@ -73,8 +73,8 @@
 #[test]
 fn refusals_and_missed_sends_are_counted_by_their_cause() {
     run_test(async {
-        let nobody = "127.0.0.1:9".parse().expect("an address");
-        let tier = Tier::start("counted", &configuration(), &[("i-1", "api", nobody)]).await;
+        let unused = "127.0.0.1:9".parse().expect("an address");
+        let tier = Tier::start("counted", &configuration(), &[("i-1", "api", unused)]).await;
         read_until(tier.metrics(1), "onyxstile_endpoints_usable{service=\"api\"}", 1.0).await;
         for _ in 0..3 {
             send_request(tier.front(), "GET", "/other/x", &[("request-id", "r1")], "")
@@ -83,7 +83,7 @@
         }
         let headers = [("request-id", "r2"), ("deadline-ms", "400")];
         let answer = send_request(tier.front(), "GET", "/r/x", &headers, "").await.expect("an answer");
-        assert_eq!(answer.status, 503, "nobody listens there");
+        assert_eq!(answer.status, 503, "no process listens there");
         let text = read(tier.metrics(1)).await;
         assert_eq!(value(&text, "onyxstile_refusals_total{cause=\"no_route\"}"), 3.0);
         assert_eq!(value(&text, "onyxstile_refusals_total{cause=\"not_taken\"}"), 1.0);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn only_the_path_that_was_named_tells_figures() {
+fn metrics_are_served_only_at_the_configured_path() {
     run_test(async {
         let tier = Tier::start("path", &configuration(), &[]).await;
         let other = send_request(tier.metrics(2), "GET", "/", &[], "").await.expect("an answer");
@@ -103,9 +103,9 @@
     });
 }
 
-/// A label's values come from a configuration, which may name any number of services.
+/// Label values come from a configuration, which may name any number of services.
 #[test]
-fn a_figure_has_so_many_values_at_the_most() {
+fn the_label_values_of_a_metric_are_limited() {
     let values: Vec<(String, f64)> = (0..1000).map(|number| (format!("s{number}"), 1.0)).collect();
     let mut figures = Metrics::default();
     figures.gauges("endpoints_usable", "Endpoints that may be called.", "service", &values);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_place_for_figures_is_a_port_and_a_path() {
+fn a_metrics_address_is_a_port_and_a_path() {
     let read = |text: &str| text.parse::<MetricsAddress>();
     assert_eq!(read("9464/metrics"), Ok(MetricsAddress { port: 9464, path: "/metrics".into() }));
     assert_eq!(read("9464"), Err(MetricsAddressError::NoPath));
