--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -6,7 +6,7 @@
 pub mod codec;
 
 use super::figures::Figures;
-use super::inbox::ToOwner;
+use super::inbox::OwnerMessage;
 use super::phase::{Phase, State};
 use codec::{Call, LINE_MAX};
 use std::cell::RefCell;
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone)]
 pub struct Admin {
     /// Where orders go.
-    pub owner: mpsc::Sender<ToOwner>,
+    pub owner: mpsc::Sender<OwnerMessage>,
     /// What `telemetry` reports.
     pub figures: Figures,
     /// What `readyz` goes by.
@@ -103,7 +103,7 @@
         };
         let (reply, answer) = oneshot::channel();
         let asked = async {
-            self.owner.send(ToOwner::Admin(order, reply)).await.ok()?;
+            self.owner.send(OwnerMessage::Admin(order, reply)).await.ok()?;
             answer.await.ok()
         };
         match timeout(OWNER_TIME, asked).await {
--- a/src/net/control/mod.rs
+++ b/src/net/control/mod.rs
@@ -3,7 +3,7 @@
 //! One order a line, as JSON, answered by one line. Only the relay's own user may connect (mode 0600). Orders are
 //! bounded in length and time and in how much one does; whoever wants more asks again from where the answer ended.
 
-use super::inbox::ToOwner;
+use super::inbox::OwnerMessage;
 pub use super::orders::{Answer, Order, What};
 use super::unix;
 use std::io;
@@ -39,7 +39,7 @@
 }
 
 /// Takes orders until the program ends.
-pub async fn serve(listener: UnixListener, owner: mpsc::Sender<ToOwner>) {
+pub async fn serve(listener: UnixListener, owner: mpsc::Sender<OwnerMessage>) {
     let places = Rc::new(());
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -58,7 +58,7 @@
     }
 }
 
-async fn talk(mut stream: UnixStream, owner: mpsc::Sender<ToOwner>) -> io::Result<()> {
+async fn talk(mut stream: UnixStream, owner: mpsc::Sender<OwnerMessage>) -> io::Result<()> {
     let uid = stream.peer_cred().map(|c| c.uid()).ok();
     let mut buffer = Vec::new();
     loop {
@@ -68,7 +68,7 @@
             Ok(order) => {
                 let (reply, answer) = oneshot::channel();
                 let order = signed(order, uid);
-                let sent = timeout(PATIENCE, owner.send(ToOwner::Control(order, reply))).await;
+                let sent = timeout(PATIENCE, owner.send(OwnerMessage::Control(order, reply))).await;
                 match sent {
                     Ok(Ok(())) => match timeout(PATIENCE, answer).await {
                         Ok(Ok(answer)) => answer,
--- a/src/net/directory.rs
+++ b/src/net/directory.rs
@@ -34,13 +34,13 @@
 
 impl Server {
     /// Whether anything new may go there, as far as the list and operators say.
-    pub fn takes_calls(&self) -> bool {
+    pub fn accepts_calls(&self) -> bool {
         self.state == ListState::Live
     }
 }
 
 /// Names that were listed and are not any more, kept so that they can be banned or put back.
-const REMEMBERED: usize = 4096;
+const MAX_REMEMBERED: usize = 4096;
 
 /// Real servers by their lasting names. One that has gone is kept until its last call is over; should its name
 /// come again, it is another real server.
@@ -103,7 +103,7 @@
             "draining" => ListState::Draining,
             _ => ListState::Gone,
         };
-        let state = self.allowed(&raw.uid, listed);
+        let state = self.effective_state(&raw.uid, listed);
         let destination = DestinationId(raw.pod_group);
         self.destinations.insert(destination);
         // A kind or zone that the settings do not name has no settings of its own.
@@ -134,7 +134,7 @@
     }
 
     /// What the module is told of a server of which the list says `listed`: a ban is a drain.
-    fn allowed(&self, uid: &str, listed: ListState) -> ListState {
+    fn effective_state(&self, uid: &str, listed: ListState) -> ListState {
         let banned = listed == ListState::Live && self.bans.contains(uid);
         if banned { ListState::Draining } else { listed }
     }
@@ -150,7 +150,7 @@
         let changed = if on { self.bans.insert(uid.to_string()) } else { self.bans.remove(uid) };
         let no = self.find(uid).filter(|_| changed)?;
         let listed = self.get(no).filter(|s| s.address.is_some())?.listed;
-        let state = self.allowed(uid, listed);
+        let state = self.effective_state(uid, listed);
         let s = self.servers.get_mut(&no)?;
         s.state = state;
         let (destination, kind, zone, rate) = (s.destination, s.kind, s.zone, s.rate);
@@ -158,16 +158,16 @@
     }
 
     /// How many are listed, and how many of these get nothing: banned, or among `avoided`.
-    pub fn census(&self, avoided: &BTreeSet<ServerNo>) -> Servers {
+    pub fn server_counts(&self, avoided: &BTreeSet<ServerNo>) -> Servers {
         let listed = self.servers.iter().filter(|(_, s)| s.address.is_some() && s.listed != ListState::Gone);
-        let shunned = |(no, s): &(&ServerNo, &Server)| self.bans.contains(&s.uid) || avoided.contains(no);
-        Servers { known: listed.clone().count(), excluded: listed.filter(shunned).count() }
+        let excluded = |(no, s): &(&ServerNo, &Server)| self.bans.contains(&s.uid) || avoided.contains(no);
+        Servers { known: listed.clone().count(), excluded: listed.filter(excluded).count() }
     }
 
     /// Those that are listed and have an address.
     pub fn listed(&self) -> Vec<ServerNo> {
-        let there = |s: &Server| s.address.is_some() && s.listed != ListState::Gone;
-        self.servers.iter().filter(|(_, s)| there(s)).map(|(no, _)| *no).collect()
+        let is_listed = |s: &Server| s.address.is_some() && s.listed != ListState::Gone;
+        self.servers.iter().filter(|(_, s)| is_listed(s)).map(|(no, _)| *no).collect()
     }
 
     /// The names of those of which the list says that they drain.
@@ -203,12 +203,12 @@
     }
 
     /// Whether a list has ever named the destination.
-    pub fn knows(&self, destination: DestinationId) -> bool {
+    pub fn was_named(&self, destination: DestinationId) -> bool {
         self.destinations.contains(&destination)
     }
 
     /// A whole list begins: what it does not name is gone.
-    pub fn begin_whole(&mut self) {
+    pub fn begin_full_list(&mut self) {
         let servers = self.servers.values_mut();
         servers.for_each(|s| (s.listed, s.state) = (ListState::Gone, ListState::Gone));
     }
@@ -234,7 +234,7 @@
             if !self.once.contains(&uid) {
                 self.once.push_back(uid);
             }
-            if self.once.len() > REMEMBERED {
+            if self.once.len() > MAX_REMEMBERED {
                 self.once.pop_front();
             }
         }
--- a/src/net/directory/tests.rs
+++ b/src/net/directory/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_name_that_comes_back_after_it_was_forgotten_is_another_server() {
+fn a_relisted_uid_gets_a_new_number_after_its_server_was_removed() {
     let (mut directory, names) = (Directory::default(), Names::default());
     let first = directory.entry(&raw("a", 1, "up"), Wire::Http, &names)[0].id;
     assert_eq!(directory.entry(&raw("a", 1, "draining"), Wire::Http, &names)[0].id, first);
@@ -19,34 +19,34 @@
     directory.sweep(|_| true);
     assert!(directory.get(first).is_some());
     directory.sweep(|_| false);
-    assert!(directory.get(first).is_none() && directory.knows(DestinationId(7)));
+    assert!(directory.get(first).is_none() && directory.was_named(DestinationId(7)));
     assert_ne!(directory.entry(&raw("a", 1, "up"), Wire::Http, &names)[0].id, first);
 }
 
 #[test]
-fn a_ban_is_a_drain_whatever_the_list_says_and_one_call_ends_it() {
+fn a_ban_drains_the_server_regardless_of_the_list_until_it_is_lifted() {
     let (mut directory, names) = (Directory::default(), Names::default());
     assert!(!directory.was_listed("a"));
-    let told = |d: &mut Directory, state: &str| d.entry(&raw("a", 1, state), Wire::Http, &names)[0].state;
-    assert_eq!(told(&mut directory, "up"), ListState::Live);
+    let listed = |d: &mut Directory, state: &str| d.entry(&raw("a", 1, state), Wire::Http, &names)[0].state;
+    assert_eq!(listed(&mut directory, "up"), ListState::Live);
     assert_eq!(directory.ban("a", true).unwrap().1.state, ListState::Draining);
     assert!(directory.ban("a", true).is_none(), "the second call changes nothing");
     // The list says otherwise, lets it go and brings it back.
-    assert_eq!(told(&mut directory, "up"), ListState::Draining);
-    assert_eq!(directory.census(&BTreeSet::new()), Servers { known: 1, excluded: 1 });
-    assert_eq!(told(&mut directory, "removed"), ListState::Gone);
+    assert_eq!(listed(&mut directory, "up"), ListState::Draining);
+    assert_eq!(directory.server_counts(&BTreeSet::new()), Servers { known: 1, excluded: 1 });
+    assert_eq!(listed(&mut directory, "removed"), ListState::Gone);
     directory.sweep(|_| false);
-    assert_eq!(directory.census(&BTreeSet::new()), Servers::default());
+    assert_eq!(directory.server_counts(&BTreeSet::new()), Servers::default());
     assert!(directory.was_listed("a"));
-    assert_eq!(told(&mut directory, "up"), ListState::Draining);
+    assert_eq!(listed(&mut directory, "up"), ListState::Draining);
     assert_eq!(directory.ban("a", false).unwrap().1.state, ListState::Live);
     let (no, _) = directory.ban("a", true).unwrap();
     directory.ban("a", false);
-    assert_eq!(directory.census(&[no].into()), Servers { known: 1, excluded: 1 });
+    assert_eq!(directory.server_counts(&[no].into()), Servers { known: 1, excluded: 1 });
 }
 
 #[test]
-fn a_server_at_another_address_keeps_no_idle_connection() {
+fn an_address_change_closes_idle_connections_once() {
     let (mut directory, names) = (Directory::default(), Names::default());
     let no = directory.entry(&raw("a", 1, "up"), Wire::Http, &names)[0].id;
     assert!(directory.sweep(|_| false).is_empty());
@@ -58,13 +58,13 @@
 /// A list may say that a real server is another destination's now. Messages for that one found nobody, and its
 /// waits were not this server's.
 #[test]
-fn a_server_that_is_moved_to_another_destination_is_another_server() {
+fn a_server_listed_for_another_destination_gets_a_new_number() {
     let (mut directory, names) = (Directory::default(), Names::default());
     let first = directory.entry(&raw("a", 1, "up"), Wire::Http, &names)[0].id;
     let moved = RawEntry { pod_group: 8, ..raw("a", 1, "up") };
     let entries = directory.entry(&moved, Wire::Http, &names);
-    let said: Vec<_> = entries.iter().map(|e| (e.destination.0, e.state)).collect();
-    assert_eq!(said, [(7, ListState::Gone), (8, ListState::Live)]);
+    let states: Vec<_> = entries.iter().map(|e| (e.destination.0, e.state)).collect();
+    assert_eq!(states, [(7, ListState::Gone), (8, ListState::Live)]);
     assert!(entries[0].id == first && entries[1].id != first);
     directory.sweep(|_| false);
     assert_eq!((directory.find("a"), directory.get(first).is_some()), (Some(entries[1].id), false));
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -4,7 +4,7 @@
 mod pace;
 
 use super::http::{Framing, HttpError, Reader};
-use super::inbox::ToOwner;
+use super::inbox::OwnerMessage;
 use super::socket::connect;
 use lists::{Judged, Lists, Versions};
 pub use pace::Pace;
@@ -31,7 +31,7 @@
 /// Follows the list for as long as the program runs, from version `rev` on; at a new address as soon as there
 /// is one. The list stands meanwhile: that an address is left says nothing of the endpoints.
 pub async fn follow(
-    mut addresses: Receiver<SocketAddr>, rev: u64, owner: mpsc::Sender<ToOwner>, mut pace: Pace,
+    mut addresses: Receiver<SocketAddr>, rev: u64, owner: mpsc::Sender<OwnerMessage>, mut pace: Pace,
 ) {
     let mut known = Known { rev, versions: Versions::default() };
     let mut pause = pace.start();
@@ -91,7 +91,7 @@
 }
 
 async fn watch(
-    address: SocketAddr, known: &mut Known, begun: &mut bool, owner: &mpsc::Sender<ToOwner>,
+    address: SocketAddr, known: &mut Known, begun: &mut bool, owner: &mpsc::Sender<OwnerMessage>,
     patience: Duration,
 ) -> Result<(), HttpError> {
     let late = |_| HttpError::Malformed("silence");
@@ -114,7 +114,7 @@
             // The version moves on only with the list on its way: the watch may be left at any wait.
             let Ok(place) = owner.reserve().await else { return Ok(()) };
             known.rev = list.rev;
-            place.send(ToOwner::List(list));
+            place.send(OwnerMessage::List(list));
         }
     }
     Ok(())
--- a/src/net/edge/mod.rs
+++ b/src/net/edge/mod.rs
@@ -10,7 +10,7 @@
 use super::config::HttpSettings;
 use super::figures::{Fate, Figures};
 use super::http::{BODY_MAX, Framing, Head, HttpError, Reader};
-use super::inbox::{Offer, ToOwner, Verdict};
+use super::inbox::{OwnerMessage, Submission, Verdict};
 use super::parcel::{Parcel, Routed};
 use super::phase::{Evacuation, Phase, State};
 use super::routing::{Held, NoWay, Routing};
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub struct EdgeParts {
     /// Where offers go.
-    pub owner: mpsc::Sender<ToOwner>,
+    pub owner: mpsc::Sender<OwnerMessage>,
     /// The program's phase.
     pub phase: Phase,
     /// Whether clients are sent away.
--- a/src/net/edge/request.rs
+++ b/src/net/edge/request.rs
@@ -55,24 +55,26 @@
         Ok(Request::Answered(Reply { close, ..reply }))
     }
 
-    fn offer(&self, terms: Terms, body: Vec<u8>) -> (Offer, oneshot::Receiver<Vec<Verdict>>) {
+    fn offer(&self, terms: Terms, body: Vec<u8>) -> (Submission, oneshot::Receiver<Vec<Verdict>>) {
         let Terms { class, tenant, deadline, destination, id, key, routed, repeat } = terms;
         let (reply, verdict) = oneshot::channel();
         let items = vec![(destination, Rc::new(Parcel { id, key, mail: None, routed, body: body.into() }))];
-        (Offer { class, tenant, deadline, items, repeat, together: false, reply }, verdict)
+        (Submission { class, tenant, deadline, items, repeat, together: false, reply }, verdict)
     }
 
-    pub(super) async fn hand_in(&self, offer: Offer, verdict: oneshot::Receiver<Vec<Verdict>>) -> Reply {
+    pub(super) async fn hand_in(&self, offer: Submission, verdict: oneshot::Receiver<Vec<Verdict>>) -> Reply {
         // Guards the answer's time: a full queue is an answer in itself.
-        if let Err(TrySendError::Full(ToOwner::Offer(offer)) | TrySendError::Closed(ToOwner::Offer(offer))) =
-            self.parts.owner.try_send(ToOwner::Offer(offer))
+        if let Err(
+            TrySendError::Full(OwnerMessage::Submission(offer))
+            | TrySendError::Closed(OwnerMessage::Submission(offer)),
+        ) = self.parts.owner.try_send(OwnerMessage::Submission(offer))
         {
             self.parts.figures.ended(&offer.class, Fate::Refused);
             return Reply::new(503, "Service Unavailable").after(COME_BACK);
         }
         match verdict.await.ok().and_then(|v| v.first().copied()) {
-            Some(Verdict::Taken) => Reply::new(202, "Accepted"),
-            Some(Verdict::TurnedDown(wait)) => Reply::new(429, "Too Many Requests").after(wait),
+            Some(Verdict::Accepted) => Reply::new(202, "Accepted"),
+            Some(Verdict::Rejected(wait)) => Reply::new(429, "Too Many Requests").after(wait),
             // Its clients are better off elsewhere from now on.
             Some(Verdict::Ending(wait)) => Reply::closing(429, "Too Many Requests").after(wait),
             Some(Verdict::Failed) => Reply::new(500, "Internal Server Error"),
@@ -89,7 +91,7 @@
 pub(super) enum Request<'a> {
     /// It hands in a flow.
     Whole {
-        offer: Offer,
+        offer: Submission,
         verdict: oneshot::Receiver<Vec<Verdict>>,
         /// Whether its connection stays open.
         keep: bool,
--- a/src/net/edge/tests.rs
+++ b/src/net/edge/tests.rs
@@ -18,7 +18,7 @@
     phase: Phase,
     evacuation: Evacuation,
     at: SocketAddr,
-    _queue: mpsc::Receiver<ToOwner>,
+    _queue: mpsc::Receiver<OwnerMessage>,
 }
 
 /// A front that serves, for the time of a test.
--- a/src/net/inbox.rs
+++ b/src/net/inbox.rs
@@ -16,9 +16,9 @@
 
 /// What reaches the owner.
 #[derive(Debug)]
-pub enum ToOwner {
+pub enum OwnerMessage {
     /// A client hands in a flow.
-    Offer(Offer),
+    Submission(Submission),
     /// A call ended.
     CallEnded(CallEnd, Option<String>),
     /// A probe ended.
@@ -40,12 +40,12 @@
     /// A sync of the journal was made, or was not.
     Synced(std::io::Result<crate::net::journal::Pending>),
     /// Notices were heard.
-    NoticesHeard(Vec<FlowNo>),
+    NoticesAcknowledged(Vec<FlowNo>),
 }
 
 /// Flows that a client hands in together.
 #[derive(Debug)]
-pub struct Offer {
+pub struct Submission {
     /// Their class, by name.
     pub class: String,
     /// Their tenant, by name.
@@ -66,9 +66,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// Taken on, and lasting.
-    Taken,
+    Accepted,
     /// Not taken; may come again after this time.
-    TurnedDown(Duration),
+    Rejected(Duration),
     /// Not taken, for the relay ends; the next process is there after this time.
     Ending(Duration),
     /// No room.
--- a/src/net/mail/client.rs
+++ b/src/net/mail/client.rs
@@ -6,7 +6,7 @@
 use super::codec::{CodecError, Lines, Reply, stuffed};
 use super::{Dialect, Times};
 use crate::core::{CallEnd, End, FlowNo, Outcome, ServerNo};
-use crate::net::inbox::ToOwner;
+use crate::net::inbox::OwnerMessage;
 use crate::net::parcel::Parcel;
 use crate::net::pool::{Pool, Pooled};
 use crate::net::socket::connect;
@@ -91,7 +91,7 @@
     hostname: String,
     dial_timeout: Duration,
     times: Times,
-    owner: mpsc::Sender<ToOwner>,
+    owner: mpsc::Sender<OwnerMessage>,
 }
 
 /// Makes mail calls and keeps connections.
@@ -101,7 +101,8 @@
 impl MailUpstream {
     /// A pool with no connections, for so many idle ones. Ends of calls go to `owner`.
     pub fn new(
-        hostname: String, dial_timeout: Duration, times: Times, idle: usize, owner: mpsc::Sender<ToOwner>,
+        hostname: String, dial_timeout: Duration, times: Times, idle: usize,
+        owner: mpsc::Sender<OwnerMessage>,
     ) -> Self {
         let idle = Pool::new(times.keep, idle);
         MailUpstream(Rc::new(Inner { idle, hostname, dial_timeout, times, owner }))
@@ -127,7 +128,7 @@
                 Ok(Err(Stopped::Late)) | Err(_) => Outcome::TimedOut,
                 Ok(Err(_)) => Outcome::Unreachable,
             };
-            let _ = this.0.owner.send(ToOwner::Probed(server, outcome, None)).await;
+            let _ = this.0.owner.send(OwnerMessage::Probed(server, outcome, None)).await;
         });
     }
 
@@ -167,7 +168,7 @@
             let end = CallEnd { flow, attempt, server, outcome, finished, elapsed, limit: None };
             let detail = Some(detail).filter(|d| !d.is_empty());
             // The owner outlives all calls but at exit.
-            let _ = self.0.owner.send(ToOwner::CallEnded(end, detail)).await;
+            let _ = self.0.owner.send(OwnerMessage::CallEnded(end, detail)).await;
         }
     }
 
--- a/src/net/mail/server.rs
+++ b/src/net/mail/server.rs
@@ -7,7 +7,7 @@
 use super::{Dialect, MailSettings, address, dsn};
 use crate::api::DestinationId;
 use crate::net::clock::Clock;
-use crate::net::inbox::{Offer, ToOwner, Verdict};
+use crate::net::inbox::{OwnerMessage, Submission, Verdict};
 use crate::net::parcel::{Envelope, Parcel};
 use crate::net::phase::{Phase, State};
 use crate::net::socket::end;
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct MailEdge {
     settings: MailSettings,
-    owner: mpsc::Sender<ToOwner>,
+    owner: mpsc::Sender<OwnerMessage>,
     phase: Phase,
     clock: Clock,
     /// Open sessions, by the client's address.
@@ -77,7 +77,9 @@
 
 impl MailEdge {
     /// No session yet.
-    pub fn new(settings: MailSettings, owner: mpsc::Sender<ToOwner>, phase: Phase, clock: Clock) -> Rc<Self> {
+    pub fn new(
+        settings: MailSettings, owner: mpsc::Sender<OwnerMessage>, phase: Phase, clock: Clock,
+    ) -> Rc<Self> {
         Rc::new(MailEdge { settings, owner, phase, clock, open: RefCell::default(), last: Cell::new(0) })
     }
 
--- a/src/net/mail/server/transaction.rs
+++ b/src/net/mail/server/transaction.rs
@@ -74,7 +74,7 @@
         }
         let count = items.len();
         let (reply, verdict) = oneshot::channel();
-        let offer = Offer {
+        let offer = Submission {
             class: settings.class.clone(),
             tenant: None,
             deadline: edge.clock.now() + settings.deadline,
@@ -83,15 +83,15 @@
             together: self.dialect == Dialect::Smtp,
             reply,
         };
-        let verdicts = match edge.owner.try_send(ToOwner::Offer(offer)) {
+        let verdicts = match edge.owner.try_send(OwnerMessage::Submission(offer)) {
             Ok(()) => verdict.await.unwrap_or_default(),
             Err(_) => vec![Verdict::Full; count],
         };
         let line = |i: usize| {
             let verdict = which.get(i).and_then(|w| verdicts.get(*w)).copied().unwrap_or(Verdict::Full);
             match verdict {
-                Verdict::Taken => format!("250 2.0.0 {id} taken on"),
-                Verdict::TurnedDown(_) | Verdict::Ending(_) | Verdict::Failed => {
+                Verdict::Accepted => format!("250 2.0.0 {id} taken on"),
+                Verdict::Rejected(_) | Verdict::Ending(_) | Verdict::Failed => {
                     "451 4.3.2 not now, come again later".to_string()
                 }
                 Verdict::Full | Verdict::Unknown(_) => "452 4.3.1 no room".to_string(),
--- a/src/net/notices.rs
+++ b/src/net/notices.rs
@@ -2,7 +2,7 @@
 
 use super::discovery::moved;
 use super::http::{Framing, HttpError, Reader};
-use super::inbox::ToOwner;
+use super::inbox::OwnerMessage;
 use super::journal::Owed;
 use super::socket::connect;
 use crate::core::FlowNo;
@@ -28,7 +28,7 @@
 /// Takes batches from `due` one after the other, and reports each to `owner` once it has been heard.
 pub async fn tell(
     mut addresses: Receiver<SocketAddr>, mut due: mpsc::Receiver<Vec<(FlowNo, Owed)>>,
-    owner: mpsc::Sender<ToOwner>,
+    owner: mpsc::Sender<OwnerMessage>,
 ) {
     let mut connection = None;
     while let Some(batch) = due.recv().await {
@@ -41,18 +41,18 @@
                 }
             }
         }
-        if owner.send(ToOwner::NoticesHeard(flows)).await.is_err() {
+        if owner.send(OwnerMessage::NoticesAcknowledged(flows)).await.is_err() {
             return;
         }
     }
 }
 
 /// Where no platform is told: each end stands in the log, which is all that hears of it.
-pub async fn tell_log(mut due: mpsc::Receiver<Vec<(FlowNo, Owed)>>, owner: mpsc::Sender<ToOwner>) {
+pub async fn tell_log(mut due: mpsc::Receiver<Vec<(FlowNo, Owed)>>, owner: mpsc::Sender<OwnerMessage>) {
     while let Some(batch) = due.recv().await {
         batch.iter().for_each(|(_, owed)| tracing::warn!("undelivered: {}", line(owed).trim_end()));
         let flows = batch.into_iter().map(|(no, _)| no).collect();
-        if owner.send(ToOwner::NoticesHeard(flows)).await.is_err() {
+        if owner.send(OwnerMessage::NoticesAcknowledged(flows)).await.is_err() {
             return;
         }
     }
--- a/src/net/owner/admin.rs
+++ b/src/net/owner/admin.rs
@@ -6,7 +6,7 @@
 /// Bans at once, at most. Without a bound their records would fill the journal's folder.
 const BANS_MAX: usize = 1024;
 /// How often, at most, the real servers are counted: a step walks all of them for it.
-const CENSUS: Duration = Duration::from_millis(100);
+const SERVER_COUNT_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Owner {
     /// Does what an operator calls for; why not, if it cannot.
@@ -46,15 +46,15 @@
             self.core.update_entries(vec![entry], false);
             self.sweep_servers();
         }
-        self.census_at = Duration::ZERO;
+        self.servers_counted_at = Duration::ZERO;
         Ok(())
     }
 
     /// Counts flows that got their verdict before they had numbers. One that names nothing known is no message.
     pub(super) fn count_verdict(&self, class: &str, verdict: Verdict, flows: usize) {
         let fate = match verdict {
-            Verdict::Taken | Verdict::Unknown(_) => return,
-            Verdict::TurnedDown(_) | Verdict::Ending(_) | Verdict::Full => Fate::Refused,
+            Verdict::Accepted | Verdict::Unknown(_) => return,
+            Verdict::Rejected(_) | Verdict::Ending(_) | Verdict::Full => Fate::Refused,
             Verdict::Failed => Fate::Failed,
         };
         (0..flows).for_each(|_| self.figures.ended(class, fate));
@@ -72,19 +72,19 @@
     }
 
     pub(super) fn count(&self, no: FlowNo, fate: Fate) {
-        let place = self.places.get(&no).filter(|p| !p.resend);
+        let place = self.flow_infos.get(&no).filter(|p| !p.resend);
         if let Some(class) = place.and_then(|p| self.names.classes.get(p.class)) {
             self.figures.ended(class, fate);
         }
     }
 
     /// What is counted anew, and not fed by what happens.
-    pub(super) fn take_census(&mut self, now: Duration) {
+    pub(super) fn update_metrics(&mut self, now: Duration) {
         self.figures.in_flight(self.core.open_flows());
-        if now >= self.census_at + CENSUS {
-            self.census_at = now;
-            self.figures.servers(self.directory.census(&self.core.avoided()));
-            self.write_sights();
+        if now >= self.servers_counted_at + SERVER_COUNT_INTERVAL {
+            self.servers_counted_at = now;
+            self.figures.servers(self.directory.server_counts(&self.core.avoided()));
+            self.write_endpoint_records();
         }
     }
 }
--- a/src/net/owner/claims.rs
+++ b/src/net/owner/claims.rs
@@ -7,11 +7,11 @@
 use onyxstile_recovery::{Claim, MayKnow};
 
 /// How long the others may take to answer: a client waits 400 ms for its own answer.
-const PATIENCE: Duration = Duration::from_millis(180);
+const PEER_TIMEOUT: Duration = Duration::from_millis(180);
 /// Claims open at once, at most: each holds its body.
-const MOST: usize = 64;
+const MAX_OPEN_CLAIMS: usize = 64;
 /// How long a client is asked to stay away where nobody can tell now.
-const LATER: Duration = Duration::from_millis(1000);
+const CLAIM_RETRY_AFTER: Duration = Duration::from_millis(1000);
 
 /// Claims whose answers have not all come.
 #[derive(Debug, Default)]
@@ -23,7 +23,7 @@
 
 #[derive(Debug)]
 struct Open {
-    offer: Offer,
+    offer: Submission,
     heard: BTreeMap<NodeNo, MayKnow>,
     left: usize,
 }
@@ -35,13 +35,13 @@
 
 impl Owner {
     /// Takes a marked offer aside, if the others have to be asked about it first. Gives it back if not.
-    pub(super) fn claim(&mut self, offer: Offer) -> Result<(), Offer> {
+    pub(super) fn claim(&mut self, offer: Submission) -> Result<(), Submission> {
         let now = self.clock.now();
         let class = position(&self.names.classes, &offer.class).and_then(|c| self.classes.get(c));
         let free = class.is_none_or(|c| c.0 == crate::api::Effect::Repeatable);
         let Some(fleet) = self.fleet.as_mut().filter(|_| offer.repeat && !free) else { return Err(offer) };
-        if fleet.claims.open.len() >= MOST {
-            let _ = offer.reply.send(vec![Verdict::TurnedDown(LATER); offer.items.len()]);
+        if fleet.claims.open.len() >= MAX_OPEN_CLAIMS {
+            let _ = offer.reply.send(vec![Verdict::Rejected(CLAIM_RETRY_AFTER); offer.items.len()]);
             return Ok(());
         }
         let known = offer.items.iter().any(|(_, p)| self.ids.contains_key(&p.id));
@@ -55,7 +55,7 @@
         // This relay may have lost what it took on, like any other.
         open.heard.insert(NodeNo(u16::MAX), MayKnow::Unknown(fleet.book.whole_for(now)));
         for node in fleet.peers.others() {
-            match fleet.peers.ask(node, Question::Ids(ids.clone()), now, PATIENCE) {
+            match fleet.peers.ask(node, Question::Ids(ids.clone()), now, PEER_TIMEOUT) {
                 Some(number) => {
                     fleet.claims.asked.insert(number, claim);
                     open.left += 1;
@@ -71,14 +71,14 @@
 
     /// By the operator's file these relays are gone for good: once a message's life has passed since, their silence holds no
     /// claim back any more. What they took on before may have run, and stays theirs for as long as it lives.
-    pub(super) fn know_gone(&mut self, gone: BTreeSet<NodeNo>) {
+    pub(super) fn set_gone_relays(&mut self, gone: BTreeSet<NodeNo>) {
         if let Some(fleet) = &mut self.fleet {
             tracing::info!(nodes = ?gone.iter().map(|n| n.0).collect::<Vec<_>>(), "relays that are gone for good");
             fleet.peers.set_gone(&gone, self.clock.now());
         }
     }
 
-    pub(super) fn heard_of_claim(&mut self, node: NodeNo, number: Number, heard: Heard) {
+    pub(super) fn claim_answered(&mut self, node: NodeNo, number: Number, heard: Heard) {
         let now = self.clock.now();
         let Some(fleet) = &mut self.fleet else { return };
         let Some(claim) = fleet.claims.asked.remove(&number) else { return };
@@ -115,10 +115,10 @@
             "a flow was claimed"
         );
         let verdict = match is {
-            Claim::Free => return self.offered(offer),
-            Claim::Theirs => Verdict::Taken,
+            Claim::Free => return self.handle_submission(offer),
+            Claim::Theirs => Verdict::Accepted,
             Claim::Over => Verdict::Failed,
-            Claim::Later => Verdict::TurnedDown(LATER),
+            Claim::Later => Verdict::Rejected(CLAIM_RETRY_AFTER),
         };
         let _ = offer.reply.send(vec![verdict; offer.items.len()]);
     }
--- a/src/net/owner/lasting.rs
+++ b/src/net/owner/durable_steps.rs
@@ -25,25 +25,25 @@
     /// A sync is under way.
     syncing: bool,
     /// Where its end is told; none where writes need not be synced.
-    to: Option<mpsc::Sender<ToOwner>>,
+    to: Option<mpsc::Sender<OwnerMessage>>,
     /// Syncs, and steps that they served.
     counts: (u64, u64),
 }
 
 impl HeldBack {
-    pub(super) fn new(to: mpsc::Sender<ToOwner>) -> HeldBack {
+    pub(super) fn new(to: mpsc::Sender<OwnerMessage>) -> HeldBack {
         HeldBack { to: Some(to), ..HeldBack::default() }
     }
 }
 
 impl Owner {
     /// Carries a step out, or holds it back.
-    pub(super) fn carry_out_lasting(
+    pub(super) fn carry_out_durably(
         &mut self, effects: Vec<Effect<Rc<Parcel>>>, at: Duration, lasting: bool, resent: BTreeSet<FlowNo>,
     ) {
         let write = self.journal.written();
         let step = Step { effects, at, lasting, resent, write };
-        let waits = self.journal.syncs() && step.effects.iter().any(|e| self.must_last(e));
+        let waits = self.journal.syncs() && step.effects.iter().any(|e| self.must_be_durable(e));
         if !waits && self.held_back.steps.is_empty() {
             return self.finish_step(step);
         }
@@ -54,11 +54,11 @@
     }
 
     /// A 202, and a call that must not be made twice, are promises that a loss of power must not break.
-    fn must_last(&self, effect: &Effect<Rc<Parcel>>) -> bool {
+    fn must_be_durable(&self, effect: &Effect<Rc<Parcel>>) -> bool {
         match effect {
             Effect::Accepted(..) => true,
             Effect::Call { flow, .. } => {
-                let class = self.places.get(flow).and_then(|p| self.classes.get(p.class));
+                let class = self.flow_infos.get(flow).and_then(|p| self.classes.get(p.class));
                 class.is_none_or(|c| c.0 == crate::api::Effect::Once)
             }
             _ => false,
@@ -81,12 +81,12 @@
                 self.held_back.syncing = true;
                 tokio::task::spawn_local(async move {
                     let made = tokio::task::spawn_blocking(move || (pending.sync(), pending)).await;
-                    let told = match made {
+                    let result = match made {
                         Ok((Ok(()), pending)) => Ok(pending),
                         Ok((Err(e), _)) => Err(e),
                         Err(e) => Err(io::Error::other(e.to_string())),
                     };
-                    let _ = to.send(ToOwner::Synced(told)).await;
+                    let _ = to.send(OwnerMessage::Synced(result)).await;
                 });
             }
             // A rewrite has synced all of it.
@@ -135,7 +135,7 @@
     }
 
     /// Whether every step that was written has been carried out.
-    pub(super) fn nothing_held_back(&self) -> bool {
+    pub(super) fn all_steps_done(&self) -> bool {
         self.held_back.steps.is_empty()
     }
 
@@ -147,7 +147,7 @@
                 tracing::warn!("journal: not closed: {e}");
             }
         }
-        self.fleet.iter().for_each(fleet::Fleet::say_counts);
+        self.fleet.iter().for_each(fleet::Fleet::log_counts);
         let (syncs, steps) = self.held_back.counts;
         if syncs > 0 {
             tracing::info!(syncs, steps, "journal closed");
--- a/src/net/owner/effects.rs
+++ b/src/net/owner/effects.rs
@@ -9,15 +9,15 @@
     ) {
         match effect {
             Effect::Accepted(no, parcel) if lasting => {
-                self.book_fate(&parcel.id, FlowFate::Taken);
-                if let Some(w) = self.waiting.get(&no) {
+                self.record_fate(&parcel.id, FlowFate::Taken);
+                if let Some(w) = self.pending_submissions.get(&no) {
                     let (class, to) = (&w.flow.class, w.flow.destination);
                     tracing::debug!(flow = no.0, id = parcel.id, class, destination = to, "flow taken");
                     if parcel.mail.is_none() {
                         self.watchdog.watch(no, &parcel.id, now, w.flow.deadline, false);
                     }
                 }
-                self.settle(no, Verdict::Taken);
+                self.settle(no, Verdict::Accepted);
             }
             Effect::Accepted(no, parcel) => {
                 // Guards the promise of a 202: what is not written down was not taken.
@@ -26,21 +26,21 @@
                 if self.resends.contains_key(&no) {
                     self.settle_resend(no, None, false, now);
                 }
-                self.forget(no, &parcel.id);
+                self.remove_flow(no, &parcel.id);
                 self.settle(no, Verdict::Full);
             }
             Effect::Rejected(no, parcel, end) => {
                 self.count_end(no, end);
-                self.forget(no, &parcel.id);
+                self.remove_flow(no, &parcel.id);
                 let verdict = match end {
-                    End::Returned(wait) => Verdict::TurnedDown(wait),
+                    End::Returned(wait) => Verdict::Rejected(wait),
                     _ => Verdict::Failed,
                 };
                 self.settle(no, verdict);
             }
             Effect::Call { flow, attempt, server, give_up_at, payload } => {
                 let to = self.directory.get(server).and_then(|s| Some((s.address?, s.wire)));
-                let destination = self.places.get(&flow).map(|p| p.destination);
+                let destination = self.flow_infos.get(&flow).map(|p| p.destination);
                 let (Some((address, wire)), Some(destination), true) = (to, destination, lasting) else {
                     // Not written down, or nowhere to go: it does not go out.
                     let (outcome, elapsed) = (Outcome::Void, Duration::ZERO);
@@ -89,15 +89,15 @@
             }
             Effect::Ended(no, parcel, end) => {
                 tracing::debug!(flow = no.0, id = parcel.id, end = end_name(end), "flow ended");
-                let owed = owes_notice(&parcel, end) && !resent.contains(&no);
+                let owed = needs_notice(&parcel, end) && !resent.contains(&no);
                 self.watchdog.record(no, now, FlowEvent::Ended(end_name(end), owed));
-                if !owed && let Some(story) = self.watchdog.resolve(no, now) {
-                    tracing::error!("{story}");
+                if !owed && let Some(history) = self.watchdog.resolve(no, now) {
+                    tracing::error!("{history}");
                 }
                 if let Some(view) = self.views.remove(&no) {
                     self.hooks.flow_ended(&view, end_name(end));
                 }
-                self.book_fate(
+                self.record_fate(
                     &parcel.id,
                     match end {
                         End::Delivered | End::Over => FlowFate::Delivered,
@@ -106,13 +106,13 @@
                     },
                 );
                 self.count_end(no, end);
-                self.places.remove(&no);
+                self.flow_infos.remove(&no);
                 self.routing.flow_over(no);
                 // A resend's id is that of the flow that failed, which has its own place here.
                 if self.ids.get(&parcel.id) == Some(&no) {
                     self.over.push_back(parcel.id.clone());
                 }
-                if self.over.len() > REMEMBERED
+                if self.over.len() > MAX_REMEMBERED
                     && let Some(id) = self.over.pop_front()
                 {
                     self.ids.remove(&id);
@@ -166,7 +166,7 @@
     /// Until when a keyed flow that may have run may be written again.
     fn write_by(&self, flow: FlowNo) -> Option<Duration> {
         let (_, progress) = self.journal.ledger().open.get(&flow)?;
-        let (effect, _) = self.classes.get(self.places.get(&flow)?.class)?;
+        let (effect, _) = self.classes.get(self.flow_infos.get(&flow)?.class)?;
         match effect {
             crate::api::Effect::Keyed { window, .. } => progress.risk.as_ref().map(|sent| sent.at + *window),
             _ => None,
@@ -179,12 +179,12 @@
             let server = order.server;
             let keys: Vec<_> = order.items.iter().map(|i| (i.flow, i.attempt)).collect();
             let switch = self.upstream.call(order);
-            self.note_call(keys, server, &switch);
+            self.register_call(keys, server, &switch);
         }
     }
 
     /// A call to this server carries these attempts.
-    pub(super) fn note_call(&mut self, keys: Vec<(FlowNo, u32)>, server: ServerNo, switch: &Switch) {
+    pub(super) fn register_call(&mut self, keys: Vec<(FlowNo, u32)>, server: ServerNo, switch: &Switch) {
         for key in keys {
             self.calls.insert(key, OpenCall { switch: switch.clone(), server });
         }
--- a/src/net/owner/sights.rs
+++ b/src/net/owner/endpoint_records.rs
@@ -7,10 +7,11 @@
     /// cold endpoint, which all processes share, against those that begin anew: they know nothing of an outage, and what the
     /// journal held for it all went out at once; and where the limit is not known, a cold endpoint is taken for the smallest
     /// one and gets next to nothing. Should it not be written, the next look tries again.
-    pub(super) fn write_sights(&mut self) {
-        let ill = self.core.unhealthy_endpoints().map(|no| self.directory.uid(no)).collect();
-        let told = self.core.reported_limits().map(|(no, limit)| (self.directory.uid(no), limit)).collect();
-        let records = self.journal.ledger().sights(&ill, &told);
+    pub(super) fn write_endpoint_records(&mut self) {
+        let unhealthy = self.core.unhealthy_endpoints().map(|no| self.directory.uid(no)).collect();
+        let reported =
+            self.core.reported_limits().map(|(no, limit)| (self.directory.uid(no), limit)).collect();
+        let records = self.journal.ledger().sights(&unhealthy, &reported);
         if let Err(e) = self.journal.write(&records) {
             tracing::debug!("journal: what was seen of endpoints is not written: {e}");
         }
@@ -18,16 +19,16 @@
 
     /// Takes those for cold that were ill when the process before ended: whatever became of them since, it was not long ago.
     /// Limits are as they were told last; the first answer tells them anew.
-    pub(super) fn meet_sights(&mut self) {
+    pub(super) fn restore_endpoint_records(&mut self) {
         let ledger = self.journal.ledger();
-        let ill: Vec<_> = ledger.ill.iter().filter_map(|uid| self.directory.find(uid)).collect();
+        let unhealthy: Vec<_> = ledger.ill.iter().filter_map(|uid| self.directory.find(uid)).collect();
         let limits = ledger.limits.iter().filter_map(|(uid, rate)| Some((self.directory.find(uid)?, *rate)));
         let limits: Vec<_> = limits.collect();
-        if !ill.is_empty() || !limits.is_empty() {
-            let (ill, limits) = (ill.len(), limits.len());
-            tracing::info!(ill, limits, "endpoints as the process before knew them");
+        if !unhealthy.is_empty() || !limits.is_empty() {
+            let (unhealthy, limits) = (unhealthy.len(), limits.len());
+            tracing::info!(ill = unhealthy, limits, "endpoints as the process before knew them");
         }
-        ill.into_iter().for_each(|no| self.take_for_cold(no));
+        unhealthy.into_iter().for_each(|no| self.mark_server_cold(no));
         limits.into_iter().for_each(|(no, rate)| self.core.restore_limit(no, rate));
     }
 }
--- a/src/net/owner/fleet.rs
+++ b/src/net/owner/fleet.rs
@@ -10,14 +10,14 @@
 use onyxstile_peers::facts::Evidence;
 use onyxstile_peers::roster::Turn;
 use onyxstile_peers::{
-    About, Answer, Counts, Effect as Said, Fate as FlowFate, Heard, Life, NodeNo, Number, Peers,
+    About, Answer, Counts, Effect as PeerEffect, Fate as FlowFate, Heard, Life, NodeNo, Number, Peers,
 };
 use onyxstile_peers::{Question, Terms};
 use std::net::SocketAddr;
 use view::View;
 
 /// Addresses whose datagrams were dropped that are remembered, so that each is logged once; more are only counted.
-const STRANGERS_MOST: usize = 64;
+const MAX_REJECTED_SENDERS: usize = 64;
 
 /// The owner's part in the fleet.
 #[derive(Debug)]
@@ -30,49 +30,49 @@
     /// What the others told after a loss.
     pub(super) evidence: Evidence,
     /// Facts had of each so far.
-    pub(super) facts_had: BTreeMap<NodeNo, u16>,
+    pub(super) facts_received: BTreeMap<NodeNo, u16>,
     /// Questions of the return that are open.
     pub(super) asked: BTreeMap<Number, NodeNo>,
     /// The latest version of the list that any of them has, and the latest of their clocks against this one.
-    pub(super) told_rev: u64,
-    pub(super) ahead: Duration,
+    pub(super) peer_list_rev: u64,
+    pub(super) clock_offset: Duration,
     /// Drains and bans of which others told: until the list has this version, or an operator says otherwise.
-    pub(super) lent: BTreeMap<String, Option<u64>>,
+    pub(super) peer_holds: BTreeMap<String, Option<u64>>,
     /// When this process began, and since when it has known the world.
     pub(super) began: Duration,
-    pub(super) sound_since: Duration,
+    pub(super) complete_since: Duration,
     /// Where datagrams came from that were dropped.
-    strangers: BTreeSet<SocketAddr>,
+    rejected_senders: BTreeSet<SocketAddr>,
 }
 
 impl Fleet {
-    pub(super) fn new(terms: Terms, link: Link, sound_since: Duration, now: Duration) -> Fleet {
+    pub(super) fn new(terms: Terms, link: Link, complete_since: Duration, now: Duration) -> Fleet {
         Fleet {
             peers: Peers::new(terms, now),
             link,
             book: Book::new(IDS_MOST, ID_MEMORY, now),
             claims: Claims::default(),
             evidence: Evidence::default(),
-            facts_had: BTreeMap::new(),
+            facts_received: BTreeMap::new(),
             asked: BTreeMap::new(),
-            told_rev: 0,
-            ahead: Duration::ZERO,
-            lent: BTreeMap::new(),
+            peer_list_rev: 0,
+            clock_offset: Duration::ZERO,
+            peer_holds: BTreeMap::new(),
             began: now,
-            sound_since,
-            strangers: BTreeSet::new(),
+            complete_since,
+            rejected_senders: BTreeSet::new(),
         }
     }
 
     /// A datagram was dropped; it is said once an address.
     fn dropped(&mut self, from: SocketAddr, bytes: usize) {
-        if self.strangers.len() < STRANGERS_MOST && self.strangers.insert(from) {
+        if self.rejected_senders.len() < MAX_REJECTED_SENDERS && self.rejected_senders.insert(from) {
             tracing::warn!(%from, bytes, "a datagram is dropped: cut, forged, another version's, not the fleet's, or too many");
         }
     }
 
     /// Says what came and went between relays.
-    pub(super) fn say_counts(&self) {
+    pub(super) fn log_counts(&self) {
         let Counts { sent, sent_bytes, came, dropped } = self.peers.counts();
         tracing::info!(sent, sent_bytes, came, dropped, "datagrams");
     }
@@ -84,7 +84,7 @@
         About {
             life: fleet.peers.life(),
             up_s: s(fleet.began),
-            sound_s: s(fleet.sound_since),
+            sound_s: s(fleet.complete_since),
             list_rev: self.list_rev,
             clock_ms: now.as_millis() as u64,
         }
@@ -112,7 +112,7 @@
             fleet.dropped(from, bytes.len());
         }
         self.fleet = Some(fleet);
-        self.heed(said, now);
+        self.apply_peer_effects(said, now);
     }
 
     /// Does what is due between relays.
@@ -122,7 +122,7 @@
         }
         let now = self.clock.now();
         if let Some(said) = self.fleet.as_mut().filter(|f| f.peers.next() <= now).map(|f| f.peers.tick(now)) {
-            self.heed(said, now);
+            self.apply_peer_effects(said, now);
         }
     }
 
@@ -130,24 +130,24 @@
         self.fleet.as_ref().filter(|_| self.has_started()).map(|f| f.peers.next())
     }
 
-    fn heed(&mut self, said: Vec<Said>, now: Duration) {
+    fn apply_peer_effects(&mut self, said: Vec<PeerEffect>, now: Duration) {
         for said in said {
             match said {
-                Said::Send(to, bytes) => {
+                PeerEffect::Send(to, bytes) => {
                     if let Some(fleet) = &self.fleet {
                         fleet.link.send(to, &bytes);
                     }
                 }
-                Said::Turn(node, Turn::Came(comeback)) => {
+                PeerEffect::Turn(node, Turn::Came(comeback)) => {
                     tracing::info!(node = node.0, ?comeback, "a relay came");
                 }
-                Said::Turn(node, turn) => tracing::info!(node = node.0, ?turn, "a relay"),
-                Said::Overtaken(life) => self.overtaken(life, now),
-                Said::Heard(node, number, heard) => {
+                PeerEffect::Turn(node, turn) => tracing::info!(node = node.0, ?turn, "a relay"),
+                PeerEffect::Overtaken(life) => self.superseded(life, now),
+                PeerEffect::Heard(node, number, heard) => {
                     let asked = self.fleet.as_mut().and_then(|f| f.asked.remove(&number));
                     match asked {
-                        Some(_) => self.heard_of_loss(node, heard, now),
-                        None => self.heard_of_claim(node, number, heard),
+                        Some(_) => self.loss_answered(node, heard, now),
+                        None => self.claim_answered(node, number, heard),
                     }
                 }
             }
@@ -155,31 +155,31 @@
     }
 
     /// Asks for what the return needs; whether it could be asked.
-    pub(super) fn ask_of_loss(&mut self, to: NodeNo, question: Question, patience: Duration) {
+    pub(super) fn ask_about_loss(&mut self, to: NodeNo, question: Question, timeout: Duration) {
         let now = self.clock.now();
         if let Some(fleet) = &mut self.fleet
-            && let Some(number) = fleet.peers.ask(to, question, now, patience)
+            && let Some(number) = fleet.peers.ask(to, question, now, timeout)
         {
             fleet.asked.insert(number, to);
         }
     }
 
     /// An answer to the return's questions came, or its time is up.
-    fn heard_of_loss(&mut self, node: NodeNo, heard: Heard, now: Duration) {
+    fn loss_answered(&mut self, node: NodeNo, heard: Heard, now: Duration) {
         let (cold, mut more) = (self.cold_time, None);
         if let Some(fleet) = &mut self.fleet {
             match heard {
                 Heard::Answer(Answer::Who(about, _)) => {
-                    fleet.told_rev = fleet.told_rev.max(about.list_rev);
+                    fleet.peer_list_rev = fleet.peer_list_rev.max(about.list_rev);
                     let theirs = Duration::from_millis(about.clock_ms);
-                    fleet.ahead = fleet.ahead.max(theirs.saturating_sub(now));
+                    fleet.clock_offset = fleet.clock_offset.max(theirs.saturating_sub(now));
                     more = Some(0);
                 }
                 Heard::Answer(Answer::Facts(facts, rest)) => {
                     let about = fleet.peers.roster.get(node).and_then(|s| s.about);
                     let sound = about.is_some_and(|(a, _)| Duration::from_secs(a.sound_s.into()) >= cold);
                     fleet.evidence.take(&facts, sound);
-                    let next = fleet.facts_had.entry(node).or_default();
+                    let next = fleet.facts_received.entry(node).or_default();
                     *next += facts.len() as u16;
                     more = Some(*next).filter(|_| rest);
                 }
@@ -187,13 +187,13 @@
             }
         }
         if let (Some(from), Some(left)) = (more, self.asking_left(now)) {
-            self.ask_of_loss(node, Question::Facts(from), left);
+            self.ask_about_loss(node, Question::Facts(from), left);
         }
         self.check_asked(now);
     }
 
     /// What became of a flow, for others who ask.
-    pub(super) fn book_fate(&mut self, id: &str, fate: FlowFate) {
+    pub(super) fn record_fate(&mut self, id: &str, fate: FlowFate) {
         let now = self.clock.now();
         if let Some(fleet) = &mut self.fleet {
             fleet.book.write(id_digest(id), fate, now);
@@ -201,9 +201,9 @@
     }
 
     /// The life that this relay goes by from now on.
-    pub(super) fn go_by(&mut self, life: Life, now: Duration) {
+    pub(super) fn use_incarnation(&mut self, life: Life, now: Duration) {
         if let Some(said) = self.fleet.as_mut().map(|f| f.peers.become_life(life, now)) {
-            self.heed(said, now);
+            self.apply_peer_effects(said, now);
         }
     }
 }
--- a/src/net/owner/fleet/view.rs
+++ b/src/net/owner/fleet/view.rs
@@ -6,7 +6,7 @@
 use onyxstile_peers::{About, Fact, Own};
 
 /// What is seen of a real server says nothing any more after this long.
-const SIGHT_MEMORY: Duration = Duration::from_secs(60);
+const HEALTH_RECORD_MAX_AGE: Duration = Duration::from_secs(60);
 
 /// What this relay knows, at the moment of a question.
 pub(super) struct View<'a> {
@@ -35,18 +35,18 @@
         for uid in self.directory.draining() {
             facts.push(Fact { of: name_digest(uid), age_ms: 0, kind: Kind::Drain });
         }
-        for (no, health, heard, told) in self.core.health_records() {
+        for (no, health, last_response, limit) in self.core.health_records() {
             let of = name_digest(&self.directory.uid(no));
-            let (sight, at) = match health {
-                Health::Well => (Sight::Well, heard),
+            let (observed, at) = match health {
+                Health::Well => (Sight::Well, last_response),
                 Health::Warming(since) => (Sight::Warming, since),
                 Health::Down => (Sight::Down, self.now),
             };
             let age = self.now.saturating_sub(at);
-            if age <= SIGHT_MEMORY {
-                facts.push(Fact { of, age_ms: ms(age), kind: Kind::Sight(sight) });
-                if told > 0.0 {
-                    facts.push(Fact { of, age_ms: ms(age), kind: Kind::Limit((told * 1e3) as u32) });
+            if age <= HEALTH_RECORD_MAX_AGE {
+                facts.push(Fact { of, age_ms: ms(age), kind: Kind::Sight(observed) });
+                if limit > 0.0 {
+                    facts.push(Fact { of, age_ms: ms(age), kind: Kind::Limit((limit * 1e3) as u32) });
                 }
             }
         }
--- a/src/net/owner/handover.rs
+++ b/src/net/owner/handover.rs
@@ -46,7 +46,7 @@
         // The other must know before anything is done here: without this word it would take us for dead.
         let _ = timeout(READY_TIME, peer.say(Kind::Resumed, &[])).await;
         tracing::warn!("not handed over; this process goes on");
-        self.take_up_parked(parked);
+        self.adopt_held_sockets(parked);
         None
     }
 
@@ -55,10 +55,10 @@
         let until = Instant::now() + PARK_TIME;
         loop {
             while let Ok(message) = self.orders.try_recv() {
-                self.take(message);
+                self.handle_message(message);
             }
             while let Ok(message) = self.queue.try_recv() {
-                self.take(message);
+                self.handle_message(message);
             }
             self.wake_if_due();
             self.step();
@@ -72,7 +72,7 @@
             }
             tokio::select! {
                 biased;
-                Some(message) = self.queue.recv() => self.take(message),
+                Some(message) = self.queue.recv() => self.handle_message(message),
                 () = self.parking.changed() => {}
                 () = sleep_until(Instant::now() + LOOK) => {}
             }
@@ -126,11 +126,11 @@
     }
 
     /// Takes all sockets up that were parked: by another process, or here in vain.
-    pub fn take_up_parked(&mut self, parked: Parked) {
+    pub fn adopt_held_sockets(&mut self, parked: Parked) {
         let Parked { listener, edges, calls, idle } = parked;
         self.upstream.adopt_idle(idle);
         for call in calls {
-            self.take_up_call(call);
+            self.adopt_held_call(call);
         }
         let Some(edge) = &self.edge else { return };
         edges.into_iter().for_each(|e| edge.adopt(e));
@@ -139,7 +139,7 @@
         }
     }
 
-    fn take_up_call(&mut self, mut call: ParkedCall) {
+    fn adopt_held_call(&mut self, mut call: ParkedCall) {
         let server = call.note.server;
         let mut parcels = Vec::new();
         let (sent, elapsed) = (call.note.sent, call.note.elapsed);
@@ -162,11 +162,11 @@
             return;
         }
         let switch = self.upstream.adopt(call, parcels);
-        self.note_call(keys, server, &switch);
+        self.register_call(keys, server, &switch);
     }
 
     /// Goes on with what another process had, but for the sockets. Nothing is written and nothing done yet.
-    pub(super) fn go_on(&mut self, config: &Config, state: State) -> Result<(), OwnerError> {
+    pub(super) fn resume_from(&mut self, config: &Config, state: State) -> Result<(), OwnerError> {
         let now = self.clock.now();
         let core = read(&state.core).map_err(|_| OwnerError::Handed("the module's state"))?;
         let ledger = self.journal.ledger();
@@ -184,7 +184,7 @@
         self.evacuation.set(state.evacuated);
         for no in self.core.flows().collect::<Vec<_>>() {
             let Some((flow, _)) = self.journal.ledger().open.get(&no).cloned() else { continue };
-            self.know(no, &flow, now).ok_or(OwnerError::Handed("a class that is not known"))?;
+            self.register_flow(no, &flow, now).ok_or(OwnerError::Handed("a class that is not known"))?;
         }
         // The operator's file may name other servers now.
         let fixed = std::mem::replace(&mut self.fixed, state.fixed);
--- a/src/net/owner/mail.rs
+++ b/src/net/owner/mail.rs
@@ -8,7 +8,7 @@
     pub(super) fn end_record(
         &mut self, no: FlowNo, parcel: &Parcel, end: End, refused: bool, now: Duration,
     ) -> Record {
-        let said = self.said.remove(&no);
+        let said = self.replies.remove(&no);
         if matches!(end, End::Delivered | End::Over) {
             return Record::Ended(no, None);
         }
--- a/src/net/owner/take.rs
+++ b/src/net/owner/messages.rs
@@ -3,16 +3,16 @@
 use super::*;
 
 impl Owner {
-    pub(super) fn take(&mut self, message: ToOwner) {
-        self.witness_in(&message);
+    pub(super) fn handle_message(&mut self, message: OwnerMessage) {
+        self.record_input(&message);
         match message {
-            ToOwner::Offer(offer) => {
+            OwnerMessage::Submission(offer) => {
                 if let Err(offer) = self.claim(offer) {
-                    self.offered(offer);
+                    self.handle_submission(offer);
                 }
             }
-            ToOwner::Synced(made) => self.synced(made),
-            ToOwner::CallEnded(end, detail) => {
+            OwnerMessage::Synced(made) => self.synced(made),
+            OwnerMessage::CallEnded(end, detail) => {
                 let line = FlowEvent::CallEnded(end.attempt, outcome_name(end.outcome));
                 self.watchdog.record(end.flow, self.clock.now(), line);
                 self.calls.remove(&(end.flow, end.attempt));
@@ -33,7 +33,7 @@
                 if mail && !end.outcome.never_ran() {
                     self.figures.sent();
                 }
-                self.keeper_sees(&end);
+                self.record_traffic(&end);
                 // Should this never be written, a restart takes the call for one that may have run.
                 self.unwritten.push(Record::CallEnded(end.flow, end.outcome.never_ran()));
                 if let Some(view) = self.views.get(&end.flow) {
@@ -46,57 +46,57 @@
                     self.unwritten.push(Record::Wait(uid, self.clock.now() + wait));
                 }
                 if let Some(text) = detail {
-                    self.said.insert(end.flow, text);
+                    self.replies.insert(end.flow, text);
                 }
                 self.core.call_ended(end);
             }
-            ToOwner::Probed(server, outcome, limit) => {
+            OwnerMessage::Probed(server, outcome, limit) => {
                 if matches!(outcome, Outcome::Overloaded { wait: Some(_) }) {
                     // Told beside a call's end, a wait binds as much.
                     self.hold_destination(self.directory.destination(server));
                 }
                 self.core.probe_ended(server, outcome, limit);
             }
-            ToOwner::Operator(servers, routing) => self.take_operator(servers, routing),
-            ToOwner::Control(order, reply) => {
+            OwnerMessage::Operator(servers, routing) => self.take_operator(servers, routing),
+            OwnerMessage::Control(order, reply) => {
                 let _ = reply.send(self.control(order));
             }
-            ToOwner::Admin(order, reply) => {
+            OwnerMessage::Admin(order, reply) => {
                 let _ = reply.send(self.admin(order));
             }
             // Only at the top of the loop can all be handed over; whoever asks at another time asks again.
-            ToOwner::HandOver(_) => {}
-            ToOwner::Rules(rules) => {
+            OwnerMessage::HandOver(_) => {}
+            OwnerMessage::Rules(rules) => {
                 if let Some(keeper) = &mut self.keeper {
                     keeper.planner.set_rules(rules);
                     keeper.look_soon();
                 }
             }
-            ToOwner::Gone(gone) => self.know_gone(gone),
-            ToOwner::List(list) => self.take_list(&list),
-            ToOwner::NoticesHeard(flows) => {
-                self.telling = false;
+            OwnerMessage::Gone(gone) => self.set_gone_relays(gone),
+            OwnerMessage::List(list) => self.take_list(&list),
+            OwnerMessage::NoticesAcknowledged(flows) => {
+                self.notifying = false;
                 let now = self.clock.now();
                 flows
                     .iter()
                     .filter_map(|no| self.watchdog.resolve(*no, now))
-                    .for_each(|story| tracing::error!("{story}"));
+                    .for_each(|history| tracing::error!("{history}"));
                 self.unwritten.extend(flows.into_iter().map(Record::Noticed));
             }
         }
     }
 
     pub(super) fn take_list(&mut self, list: &RawList) {
-        let before = if self.comeback.is_some() { self.directory.listed() } else { Vec::new() };
+        let before = if self.restart.is_some() { self.directory.listed() } else { Vec::new() };
         self.list_rev = list.rev;
         self.scribe();
         if list.all {
-            self.directory.begin_whole();
+            self.directory.begin_full_list();
         }
         let of_list = list.targets.iter().map(|raw| (raw, Wire::Http));
         // What the operator names is in no list of discovery's, and does not go with it.
         let own = self.fixed.iter().filter(|_| list.all).map(|f| (&f.entry, f.wire));
-        if let Some(Witness { scribe, .. }) = &mut self.witness {
+        if let Some(StepRecorder { scribe, .. }) = &mut self.recorder {
             let entries = of_list.clone().chain(own.clone()).map(|(raw, _)| raw);
             scribe.listed(entries, list.all, self.clock.now());
         }
@@ -106,16 +106,16 @@
         self.hold_leaving();
         self.sweep_servers();
         self.routing.name_servers(&self.directory);
-        if self.comeback.is_some() {
+        if self.restart.is_some() {
             self.listed_after_loss(&before);
-            self.list_came(list.rev);
+            self.list_received(list.rev);
         }
     }
 
     /// Guards drains: a connection that was being made when the news came may come up long after the time that a drain
     /// grants, and the call was chosen before.
     fn hold_leaving(&self) {
-        self.hold_unsent(|no| !self.directory.get(no).is_some_and(|s| s.takes_calls()));
+        self.hold_unsent(|no| !self.directory.get(no).is_some_and(|s| s.accepts_calls()));
     }
 
     pub(super) fn sweep_servers(&mut self) {
@@ -149,7 +149,7 @@
         });
         let gone: Vec<_> = gone.collect();
         let changed = self.fixed.iter().chain(&gone);
-        if let Some(Witness { scribe, .. }) = &mut self.witness {
+        if let Some(StepRecorder { scribe, .. }) = &mut self.recorder {
             scribe.listed(changed.clone().map(|f| &f.entry), false, self.clock.now());
         }
         let entries = changed.flat_map(|f| self.directory.entry(&f.entry, f.wire, &self.names)).collect();
--- a/src/net/owner/mod.rs
+++ b/src/net/owner/mod.rs
@@ -2,32 +2,32 @@
 
 mod admin;
 mod claims;
-pub(crate) mod comeback;
 mod control;
 mod drain;
+mod durable_steps;
 mod effects;
+mod endpoint_records;
 mod fleet;
 mod handover;
-mod lasting;
 mod mail;
+mod messages;
 mod new;
-mod offers;
 mod parts;
 mod recovery;
+pub(crate) mod restart;
 mod run;
-mod sights;
 mod step;
-mod take;
+mod step_recorder;
+mod submissions;
+mod text;
 mod undelivered;
-mod witness;
-mod words;
 
 use super::clock::Clock;
 use super::config::Config;
 use super::directory::Directory;
 use super::edge::Edge;
 use super::figures::{Fate, Figures};
-use super::inbox::{Offer, ToOwner, Verdict};
+use super::inbox::{OwnerMessage, Submission, Verdict};
 use super::journal::{Journal, Owed, Progress, Record, SentTo, TakenFlow};
 use super::listed::{FixedServer, RawList, Wire};
 use super::mail::MailSettings;
@@ -53,21 +53,21 @@
 use crate::settings::Names;
 pub use control::item;
 use onyxstile_trace::events::Stage;
-pub use parts::{Ended, OwnerError, Parts};
+pub use parts::{Ended, OwnerError, OwnerParts};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
+pub use step_recorder::StepRecorder;
+use text::{end_name, needs_notice, outcome_name, view};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep_until;
-pub use witness::Witness;
-use words::{end_name, outcome_name, owes_notice, view};
 
 /// Messages taken into one step, at most.
 const BATCH: usize = 256;
 /// Time for which the owner may be kept from its work before it says so: a notice is overdue after 300 ms.
 const STALL: Duration = Duration::from_millis(100);
 /// Ids of flows that are over, kept in case one is handed in twice.
-const REMEMBERED: usize = 4096;
+const MAX_REMEMBERED: usize = 4096;
 
 #[derive(Debug)]
 struct OpenCall {
@@ -77,7 +77,7 @@
 
 /// What has to be known of an open flow beside what the core keeps.
 #[derive(Debug, Clone, Copy)]
-struct Place {
+struct FlowInfo {
     destination: DestinationId,
     class: usize,
     /// A resend: its message has been counted before.
@@ -86,14 +86,14 @@
 
 /// Flows whose client waits for the end of the present step.
 #[derive(Debug)]
-struct Group {
+struct SubmissionGroup {
     reply: oneshot::Sender<Vec<Verdict>>,
     verdicts: Vec<Option<Verdict>>,
     together: bool,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingSubmission {
     group: u64,
     index: usize,
     flow: TakenFlow,
@@ -117,8 +117,8 @@
     routing: Rc<Routing>,
     per_call: Vec<usize>,
     /// Kinds whose real servers are each for themselves.
-    apart: Vec<bool>,
-    witness: Option<Witness>,
+    independent_routes: Vec<bool>,
+    recorder: Option<StepRecorder>,
     /// What a repeat does and how long a flow lives, by class.
     classes: Vec<(crate::api::Effect, Duration)>,
     directory: Directory,
@@ -128,23 +128,23 @@
     /// Probes that are out.
     probes: Vec<(ServerNo, Switch)>,
     /// Offers that wait for the end of the present step.
-    waiting: BTreeMap<FlowNo, Waiting>,
-    groups: BTreeMap<u64, Group>,
+    pending_submissions: BTreeMap<FlowNo, PendingSubmission>,
+    groups: BTreeMap<u64, SubmissionGroup>,
     /// Records that the next write begins with.
     unwritten: Vec<Record>,
     /// What real servers last said of open mail flows.
-    said: BTreeMap<FlowNo, String>,
+    replies: BTreeMap<FlowNo, String>,
     /// Calls of the present step, as far as they can share no other.
     http_calls: Vec<CallOrder>,
     /// Mail calls of the present step.
     mail_calls: Vec<(ServerNo, Duration, DestinationId, Item)>,
-    places: BTreeMap<FlowNo, Place>,
+    flow_infos: BTreeMap<FlowNo, FlowInfo>,
     ids: BTreeMap<String, FlowNo>,
     over: VecDeque<String>,
     next: u64,
     wakes: Wakes,
     notices: mpsc::Sender<Vec<(FlowNo, Owed)>>,
-    telling: bool,
+    notifying: bool,
     draining_since: Option<Duration>,
     /// Keeps what fails, where that is wanted.
     keeper: Option<Keeper>,
@@ -152,10 +152,10 @@
     /// Resends that ended in this step, or in one whose changes could not be written.
     resend_ends: Vec<FlowNo>,
     max_calls: usize,
-    most_held: usize,
+    max_held: usize,
     figures: Figures,
     /// When the figures of real servers were taken last.
-    census_at: Duration,
+    servers_counted_at: Duration,
     evacuation: Evacuation,
     /// That this process decides and writes; given up when another one goes on.
     lock: Option<Lock>,
@@ -164,21 +164,21 @@
     /// Sockets that two processes may hold together.
     sockets: usize,
     /// When a client last handed something in.
-    last_offer: Duration,
-    queue: mpsc::Receiver<ToOwner>,
+    last_submission: Duration,
+    queue: mpsc::Receiver<OwnerMessage>,
     /// Steps that wait for a sync.
-    held_back: lasting::HeldBack,
+    held_back: durable_steps::HeldBack,
     /// Times are written down: a later process may have to judge by them.
     times_written: bool,
     /// The other relays, where they are wanted; their datagrams; and the return to service after a loss.
     fleet: Option<fleet::Fleet>,
     datagrams: mpsc::Receiver<Datagram>,
-    comeback: Option<comeback::Comeback>,
+    restart: Option<restart::RestartRecovery>,
     /// How long a real server may be cold, and what a class's flow is worth.
     cold_time: Duration,
     worth: Vec<f64>,
     /// Operators' calls, which wait behind nothing else.
-    orders: mpsc::Receiver<ToOwner>,
+    orders: mpsc::Receiver<OwnerMessage>,
 }
 
 impl Owner {
@@ -187,8 +187,8 @@
         FlowNo(self.next - 1)
     }
 
-    fn forget(&mut self, no: FlowNo, id: &str) {
-        self.places.remove(&no);
+    fn remove_flow(&mut self, no: FlowNo, id: &str) {
+        self.flow_infos.remove(&no);
         self.routing.flow_over(no);
         self.views.remove(&no);
         if self.ids.get(id) == Some(&no) {
--- a/src/net/owner/new.rs
+++ b/src/net/owner/new.rs
@@ -8,15 +8,15 @@
     ///
     /// # Errors
     /// Settings that cannot work, or a state that was handed over and does not fit.
-    pub fn new(config: &Config, parts: Parts) -> Result<Self, OwnerError> {
-        let Parts {
+    pub fn new(config: &Config, parts: OwnerParts) -> Result<Self, OwnerError> {
+        let OwnerParts {
             journal,
             clock,
             phase,
             upstream,
             mail_upstream,
             routing,
-            witness,
+            recorder,
             keeper,
             notices,
             lock,
@@ -52,65 +52,65 @@
             routing,
             classes: config.settings.classes.iter().map(|c| (c.effect, c.deadline)).collect(),
             per_call: config.settings.kinds.iter().map(|k| k.per_call).collect(),
-            apart: config.settings.kinds.iter().map(|k| k.independent_routes).collect(),
-            witness,
+            independent_routes: config.settings.kinds.iter().map(|k| k.independent_routes).collect(),
+            recorder,
             directory: Directory::default(),
             list_rev: config.known.rev,
             calls: BTreeMap::new(),
             probes: Vec::new(),
-            waiting: BTreeMap::new(),
+            pending_submissions: BTreeMap::new(),
             groups: BTreeMap::new(),
             unwritten: Vec::new(),
-            said: BTreeMap::new(),
+            replies: BTreeMap::new(),
             http_calls: Vec::new(),
             mail_calls: Vec::new(),
-            places: BTreeMap::new(),
+            flow_infos: BTreeMap::new(),
             ids: BTreeMap::new(),
             over: VecDeque::new(),
             wakes: Wakes::default(),
             notices,
-            telling: false,
+            notifying: false,
             draining_since: None,
             keeper,
             resends: BTreeMap::new(),
             resend_ends: Vec::new(),
             max_calls: config.settings.max_calls,
-            most_held: config.settings.max_held,
+            max_held: config.settings.max_held,
             figures,
-            census_at: Duration::ZERO,
+            servers_counted_at: Duration::ZERO,
             evacuation,
             lock,
             parking,
             edge,
             sockets: config.shares.together,
-            last_offer: clock.now(),
+            last_submission: clock.now(),
             queue,
-            held_back: lasting::HeldBack::new(synced),
+            held_back: durable_steps::HeldBack::new(synced),
             times_written: config.durability.is_some() || config.peers.is_some(),
             fleet: None,
             datagrams,
-            comeback: None,
+            restart: None,
             cold_time: config.settings.cold_time,
             worth: config.settings.classes.iter().map(|c| c.utility).collect(),
             orders,
         };
         if let Some(state) = handed {
-            owner.go_on(config, state)?;
+            owner.resume_from(config, state)?;
             return Ok(owner);
         }
         owner.journal.ledger().bans.iter().for_each(|uid| {
             owner.directory.ban(uid, true);
         });
-        owner.witness_phase(Stage::Serving);
+        owner.record_phase(Stage::Serving);
         owner.take_list(&RawList { all: true, ..config.known.clone() });
-        owner.meet_sights();
+        owner.restore_endpoint_records();
         if !owner.times_written {
             let all = owner.journal.ledger().open.keys().copied().collect();
             owner.recover(&all, Loss::Nothing);
             return Ok(owner);
         }
         let (now, seed) = (owner.clock.now(), config.seed);
-        let life = comeback::begin_life(owner.journal.ledger().started.as_ref(), seed, now);
+        let life = restart::next_incarnation(owner.journal.ledger().started.as_ref(), seed, now);
         let (relays, fleet) = config.peers.as_ref().map_or((1, 0), |p| (p.addresses.len() as u16, p.fleet));
         owner.fleet = peers.map(|(link, node)| {
             let terms = onyxstile_peers::Terms { fleet, node, life, relays, seed };
@@ -118,7 +118,7 @@
             config.peers.iter().for_each(|p| fleet.peers.set_gone(&p.gone, now));
             fleet
         });
-        owner.begin_return(config, life);
+        owner.begin_restart(config, life);
         Ok(owner)
     }
 }
--- a/src/net/owner/parts.rs
+++ b/src/net/owner/parts.rs
@@ -40,7 +40,7 @@
 
 /// What the owner is made with.
 #[derive(Debug)]
-pub struct Parts {
+pub struct OwnerParts {
     /// The journal, read.
     pub journal: Journal,
     /// The clock.
@@ -54,7 +54,7 @@
     /// The routing table; an empty one routes nothing.
     pub routing: Rc<Routing>,
     /// Keeps the trace, where one is wanted.
-    pub witness: Option<Witness>,
+    pub recorder: Option<StepRecorder>,
     /// Keeps what fails, where that is wanted.
     pub keeper: Option<Keeper>,
     /// Takes batches of notices.
@@ -76,9 +76,9 @@
     /// Their datagrams.
     pub datagrams: mpsc::Receiver<Datagram>,
     /// Where the ends of syncs are told.
-    pub synced: mpsc::Sender<ToOwner>,
+    pub synced: mpsc::Sender<OwnerMessage>,
     /// Where everything comes in.
-    pub queue: mpsc::Receiver<ToOwner>,
+    pub queue: mpsc::Receiver<OwnerMessage>,
     /// Where operators' calls come in.
-    pub orders: mpsc::Receiver<ToOwner>,
+    pub orders: mpsc::Receiver<OwnerMessage>,
 }
--- a/src/net/owner/recovery.rs
+++ b/src/net/owner/recovery.rs
@@ -34,10 +34,10 @@
                     }
                 }
             }
-            let progress = self.believed(no, &flow, progress, loss);
-            let seen = now + self.fleet.as_ref().map_or(Duration::ZERO, |f| f.ahead);
+            let progress = self.assumed_progress(no, &flow, progress, loss);
+            let seen = now + self.fleet.as_ref().map_or(Duration::ZERO, |f| f.clock_offset);
             let past = progress.past(seen, |server| self.directory.number(server));
-            if !self.take_up(no, &flow, Some(past), seen) {
+            if !self.restore_flow(no, &flow, Some(past), seen) {
                 // The settings have lost its class: nothing can be decided for it but its end.
                 let owed = Owed { id: flow.parcel.id.clone(), returned_after: None };
                 lost.push(Record::Ended(no, Some(owed).filter(|_| flow.parcel.mail.is_none())));
@@ -45,7 +45,7 @@
             };
         }
         self.scribe();
-        if let Some(Witness { scribe, .. }) = &mut self.witness {
+        if let Some(StepRecorder { scribe, .. }) = &mut self.recorder {
             self.journal.ledger().owed.iter().for_each(|(no, owed)| scribe.owed_before(*no, &owed.id));
         }
         if let Err(e) = self.journal.write(&lost) {
@@ -59,7 +59,9 @@
     }
 
     /// What is to be believed of what the records say was done for a flow.
-    pub(super) fn believed(&self, no: FlowNo, flow: &TakenFlow, progress: Progress, loss: Loss) -> Progress {
+    pub(super) fn assumed_progress(
+        &self, no: FlowNo, flow: &TakenFlow, progress: Progress, loss: Loss,
+    ) -> Progress {
         let class = position(&self.names.classes, &flow.class).and_then(|c| self.classes.get(c));
         let once = class.is_none_or(|c| c.0 == crate::api::Effect::Once);
         let repeat = if once { Repeat::Never } else { Repeat::Bounded };
@@ -78,32 +80,32 @@
 
     /// Hands the core a flow that is lasting already; false if the settings do not know its class. `past`: what an
     /// earlier process did for it, if there was one.
-    pub(super) fn take_up(
+    pub(super) fn restore_flow(
         &mut self, no: FlowNo, flow: &TakenFlow, past: Option<Past>, now: Duration,
     ) -> bool {
         let resend = flow.resend_of.is_some();
         if !resend {
             self.ids.insert(flow.parcel.id.clone(), no);
         }
-        let Some(class) = self.know(no, flow, now) else { return false };
+        let Some(class) = self.register_flow(no, flow, now) else { return false };
         let tenant = flow.tenant.as_ref().and_then(|t| position(&self.names.tenants, t)).map(TenantId);
         let destination = DestinationId(flow.destination);
         let remaining = flow.deadline.saturating_sub(now);
         let terms = FlowTerms { class: ClassId(class), tenant, destination, remaining };
-        self.witness_up(no, &terms, flow, past);
+        self.record_restored(no, &terms, flow, past);
         self.core.recover(no, terms, past.unwrap_or_default(), flow.parcel.clone());
         true
     }
 
     /// Takes in all that is kept of a lasting flow beside the core; its class, if the settings know that.
-    pub(super) fn know(&mut self, no: FlowNo, flow: &TakenFlow, now: Duration) -> Option<usize> {
+    pub(super) fn register_flow(&mut self, no: FlowNo, flow: &TakenFlow, now: Duration) -> Option<usize> {
         let class = position(&self.names.classes, &flow.class)?;
         let (destination, resend) = (DestinationId(flow.destination), flow.resend_of.is_some());
         if !self.hooks.is_empty() {
             let view = view(&flow.class, flow.tenant.as_deref(), destination, &flow.parcel);
             self.views.insert(no, view);
         }
-        self.places.insert(no, Place { destination, class, resend });
+        self.flow_infos.insert(no, FlowInfo { destination, class, resend });
         self.routing.flow_opens(no, &flow.parcel);
         if flow.parcel.mail.is_none() && !resend {
             self.watchdog.watch(no, &flow.parcel.id, now, flow.deadline, true);
--- a/src/net/owner/comeback.rs
+++ b/src/net/owner/restart.rs
@@ -1,36 +1,38 @@
 //! The owner's part in a return to service: what [`onyxstile_recovery`] decides is carried out here.
 
-mod old_copy;
+mod peer_facts;
+mod stale_folder;
 mod states;
-mod told;
 
 use super::*;
 use crate::net::config::Config;
 use crate::net::journal::Started;
 use onyxstile_peers::book::Book;
 use onyxstile_peers::{Fate as FlowFate, Life, NodeNo, Question};
-use onyxstile_recovery::{Boot, Effect as Order, Event, Folder, Loss, Ramp, Return, Stage as At, Times};
+use onyxstile_recovery::{
+    Boot, Effect as RecoveryEffect, Event, Folder, Loss, Ramp, Return, Stage as RecoveryStage, Times,
+};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
 /// Others that are asked after a loss, at most: one that knows a later life of this relay is enough, and each knows
 /// partners by calls of its own.
-const ASKED_MOST: usize = 16;
+const MAX_PEERS_ASKED: usize = 16;
 /// How long a start that cannot be written waits before it is tried again.
-const START_AGAIN: Duration = Duration::from_millis(500);
+const START_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// How long who is turned away during a return is asked to stay away.
-const STAY_AWAY: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(2));
+const RETRY_AFTER_RANGE: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(2));
 
 /// A return that is under way, or was.
 #[derive(Debug)]
-pub(super) struct Comeback {
+pub(super) struct RestartRecovery {
     ret: Return,
     /// What the folder showed as open and has not been handed over, and all of it that must not run twice, or may.
     left: BTreeSet<FlowNo>,
     once: BTreeSet<FlowNo>,
     others: BTreeSet<FlowNo>,
     owed: BTreeSet<FlowNo>,
-    pub(super) telling: bool,
+    pub(super) notifying: bool,
     pub(super) kept: bool,
     ramp: Option<Ramp>,
     asked_until: Duration,
@@ -43,11 +45,11 @@
     /// What the folder by itself says that was lost.
     loss: Loss,
     /// The start is not written yet, and is tried to be again at this time.
-    unstarted: Option<Duration>,
+    start_retry_at: Option<Duration>,
 }
 
 /// The life with which a process begins: the next one of its folder, or the first of a new one.
-pub(crate) fn begin_life(last: Option<&Started>, seed: u64, now: Duration) -> Life {
+pub(crate) fn next_incarnation(last: Option<&Started>, seed: u64, now: Duration) -> Life {
     let mut rng = Pcg32::seed_from_u64(seed ^ now.as_nanos() as u64);
     let process = rng.next_u32() as u16;
     match last.map(|s| s.life) {
@@ -58,7 +60,7 @@
 
 impl Owner {
     /// Judges the folder and begins the return. The start is written, and synced, before anything else is said or done.
-    pub(super) fn begin_return(&mut self, config: &Config, life: Life) {
+    pub(super) fn begin_restart(&mut self, config: &Config, life: Life) {
         let now = self.clock.now();
         let boot = config.durability.as_ref().map(|s| s.boot.clone()).unwrap_or_default();
         let ledger = self.journal.ledger();
@@ -90,13 +92,13 @@
         let fates = ledger.open.values().map(|(f, _)| onyxstile_peers::book::id_digest(&f.parcel.id));
         fates.for_each(|digest| book.write(digest, FlowFate::Taken, now));
         let cold_until = if loss.shakes() { now + self.cold_time } else { now };
-        let comeback = Comeback {
+        let restart = RestartRecovery {
             ret: Return::new(Times::of(self.cold_time), now),
             left: open.into_iter().collect(),
             once,
             others,
             owed,
-            telling: false,
+            notifying: false,
             kept: false,
             ramp: None,
             asked_until: now,
@@ -106,11 +108,11 @@
             boot,
             node: config.peers.as_ref().map(|p| p.number.0),
             loss,
-            unstarted: Some(now),
+            start_retry_at: Some(now),
         };
-        self.comeback = Some(comeback);
+        self.restart = Some(restart);
         if let Some(fleet) = &mut self.fleet {
-            (fleet.book, fleet.sound_since) = (book, sound);
+            (fleet.book, fleet.complete_since) = (book, sound);
         }
         self.write_start();
     }
@@ -119,7 +121,7 @@
     /// process for this one. While that cannot be done nothing is.
     fn write_start(&mut self) {
         let now = self.clock.now();
-        let Some(c) = self.comeback.as_mut().filter(|c| c.unstarted.is_some_and(|at| at <= now)) else {
+        let Some(c) = self.restart.as_mut().filter(|c| c.start_retry_at.is_some_and(|at| at <= now)) else {
             return;
         };
         let durability = self.journal.durability();
@@ -133,23 +135,23 @@
         if loss.shakes() {
             let open = self.journal.ledger().open.iter();
             records.extend(open.filter_map(|(no, (flow, progress))| {
-                let believed = self.believed(*no, flow, progress.clone(), loss);
-                (believed != *progress).then_some(Record::Progress(*no, believed))
+                let assumed_progress = self.assumed_progress(*no, flow, progress.clone(), loss);
+                (assumed_progress != *progress).then_some(Record::Progress(*no, assumed_progress))
             }));
         }
         let written = self.journal.write(&records).and_then(|()| self.journal.sync_all());
         if let Err(e) = written {
             tracing::error!("journal: the start cannot be written: {e}; nothing is done before it is");
-            self.with_comeback(|c| c.unstarted = Some(now + START_AGAIN));
+            self.with_restart(|c| c.start_retry_at = Some(now + START_RETRY_DELAY));
             return;
         }
-        self.with_comeback(|c| c.unstarted = None);
+        self.with_restart(|c| c.start_retry_at = None);
         let peers = self.fleet.as_ref().is_some_and(|f| f.peers.others().next().is_some());
-        self.on_return(Event::Judged { loss, peers }, now);
+        self.on_restart_event(Event::Judged { loss, peers }, now);
     }
 
     /// Whether the start is written: only then is anything said to the others.
     pub(super) fn has_started(&self) -> bool {
-        self.comeback.as_ref().is_none_or(|c| c.unstarted.is_none())
+        self.restart.as_ref().is_none_or(|c| c.start_retry_at.is_none())
     }
 }
--- a/src/net/owner/comeback/old_copy.rs
+++ b/src/net/owner/restart/stale_folder.rs
@@ -5,28 +5,28 @@
 impl Owner {
     /// Another relay knows a later life of this one: the folder is an old copy. Nothing that it shows is acted on, and the
     /// relay goes on as the first life of a new folder.
-    pub(in crate::net::owner) fn overtaken(&mut self, later: Life, now: Duration) {
-        let Some(c) = &mut self.comeback else { return };
+    pub(in crate::net::owner) fn superseded(&mut self, later: Life, now: Duration) {
+        let Some(c) = &mut self.restart else { return };
         tracing::error!(?later, mine = ?c.life, "this folder is an old copy: nothing that it shows is acted on");
         let born = (now.as_secs() as u32).max(later.born).saturating_add(1);
         c.life = Life { born, folder: c.rng.next_u32(), start: 1, ..c.life };
         c.cold_until = now + self.cold_time;
         let (life, node, boot) = (c.life, c.node, c.boot.clone());
-        self.on_return(Event::Overtaken, now);
+        self.on_restart_event(Event::Overtaken, now);
         let durability = self.journal.durability();
         let started = Record::Started(Started { life, node, boot, durability, at: now });
         if let Err(e) = self.journal.write(&[started]).and_then(|()| self.journal.sync_all()) {
             tracing::error!("journal: {e}");
         }
         if let Some(fleet) = &mut self.fleet {
-            fleet.sound_since = now;
+            fleet.complete_since = now;
         }
-        self.go_by(life, now);
+        self.use_incarnation(life, now);
     }
 
     pub(super) fn give_up_folder(&mut self) {
         let now = self.clock.now();
-        let Some(c) = &mut self.comeback else { return };
+        let Some(c) = &mut self.restart else { return };
         c.left.clear();
         let flows: Vec<FlowNo> = c.once.iter().chain(&c.others).copied().collect();
         let ledger = self.journal.ledger();
@@ -43,7 +43,7 @@
         for no in &flows {
             self.core.withdraw(*no);
             let id = self.journal.ledger().open.get(no).map(|(f, _)| f.parcel.id.clone());
-            id.into_iter().for_each(|id| self.forget(*no, &id));
+            id.into_iter().for_each(|id| self.remove_flow(*no, &id));
         }
         for uid in bans {
             if let Some((_, entry)) = self.directory.ban(&uid, false) {
--- a/src/net/owner/run.rs
+++ b/src/net/owner/run.rs
@@ -9,9 +9,9 @@
         loop {
             if self.phase.state() >= State::Draining && self.drained() {
                 self.close_journal();
-                self.witness_phase(Stage::Stopped);
-                self.witness_step(true);
-                return Ended::Drained(self.witness.map(Witness::into_recorder));
+                self.record_phase(Stage::Stopped);
+                self.flush_recorder(true);
+                return Ended::Drained(self.recorder.map(StepRecorder::into_recorder));
             }
             let now = self.clock.now();
             let kept = self.keeper.as_ref().map(Keeper::due);
@@ -20,26 +20,26 @@
                 .next()
                 .into_iter()
                 .chain(self.drain_due())
-                .chain(self.witness_due())
+                .chain(self.recorder_due())
                 .chain(kept)
                 .chain(self.fleet_due())
-                .chain(self.return_due())
+                .chain(self.restart_due())
                 .min();
             let due = due.unwrap_or(now + Duration::from_secs(1));
             tokio::select! {
                 biased;
                 Some(order) = self.orders.recv() => match order {
-                    ToOwner::HandOver(peer) => {
+                    OwnerMessage::HandOver(peer) => {
                         if let Some(peer) = self.hand_over(peer).await {
                             return Ended::Handed(peer);
                         }
                     }
-                    order => self.take(order),
+                    order => self.handle_message(order),
                 },
                 Some((from, bytes)) = self.datagrams.recv() => self.datagram(from, &bytes),
                 message = self.queue.recv() => match message {
-                    Some(message) => self.take(message),
-                    None => return Ended::Drained(self.witness.map(Witness::into_recorder)),
+                    Some(message) => self.handle_message(message),
+                    None => return Ended::Drained(self.recorder.map(StepRecorder::into_recorder)),
                 },
                 () = sleep_until(self.clock.instant(due)) => {}
                 () = self.phase.reached(State::Draining), if self.draining_since.is_none() => {}
@@ -50,14 +50,14 @@
             }
             for _ in 1..BATCH {
                 match self.queue.try_recv() {
-                    Ok(message) => self.take(message),
+                    Ok(message) => self.handle_message(message),
                     Err(_) => break,
                 }
             }
             self.wake_if_due();
             self.tick_fleet();
             self.step();
-            self.check_return();
+            self.check_restart();
         }
     }
 
--- a/src/net/owner/step.rs
+++ b/src/net/owner/step.rs
@@ -14,25 +14,25 @@
                 break;
             }
         }
-        let may_tell = self.comeback.as_ref().is_none_or(|c| c.telling);
-        if may_tell && !self.telling && !self.journal.ledger().owed.is_empty() {
+        let may_notify = self.restart.as_ref().is_none_or(|c| c.notifying);
+        if may_notify && !self.notifying && !self.journal.ledger().owed.is_empty() {
             let owed = self.journal.ledger().owed.iter().take(notices::BATCH);
             let batch: Vec<_> = owed.map(|(no, owed)| (*no, owed.clone())).collect();
             let now = self.clock.now();
             batch.iter().for_each(|(no, _)| self.watchdog.record(*no, now, FlowEvent::Notifying));
-            self.telling = self.notices.try_send(batch).is_ok();
+            self.notifying = self.notices.try_send(batch).is_ok();
         }
         let now = self.clock.now();
-        self.watchdog.overdue(now).into_iter().for_each(|story| tracing::error!("{story}"));
-        self.take_census(now);
-        self.witness_step(false);
+        self.watchdog.overdue(now).into_iter().for_each(|history| tracing::error!("{history}"));
+        self.update_metrics(now);
+        self.flush_recorder(false);
     }
 
     /// Writes down first what the effects promise, then does them.
     fn carry_out(&mut self, effects: Vec<Effect<Rc<Parcel>>>) {
         let now = self.clock.now();
-        let mut effects = self.keep_together(effects);
-        self.end_at_its_time(&mut effects, now);
+        let mut effects = self.accept_groups_together(effects);
+        self.fail_expired(&mut effects, now);
         let mut records = std::mem::take(&mut self.unwritten);
         let mut resent = BTreeSet::new();
         // What is taken on or over is so from this time on, should a later process have to judge by it.
@@ -42,7 +42,7 @@
         for effect in &effects {
             match effect {
                 Effect::Accepted(no, _) => {
-                    let flow = self.waiting.get(no).map(|w| &w.flow);
+                    let flow = self.pending_submissions.get(no).map(|w| &w.flow);
                     let flow = flow.or_else(|| self.resends.get(no).map(|r| &r.flow));
                     records.extend(flow.map(|f| Record::Taken(*no, f.clone())));
                 }
@@ -61,14 +61,14 @@
                         self.settle_resend(*no, Some(*end), refused, now);
                         continue;
                     }
-                    self.keep_if_wanted(*no, *end, refused, now);
+                    self.keep_failed(*no, *end, refused, now);
                     records.push(self.end_record(*no, parcel, *end, refused, now));
                 }
                 _ => {}
             }
         }
         // What is kept is on the shelf before the journal has that its flow is over, and a resend's end as well.
-        records.extend(self.write_shelf().into_iter().map(|no| Record::Ended(no, None)));
+        records.extend(self.write_kept_messages().into_iter().map(|no| Record::Ended(no, None)));
         let began = self.clock.now();
         let lasting = self.journal.write(&records);
         // A told wait holds nothing back, but is to outlast a loss of power soon.
@@ -90,12 +90,12 @@
         } else {
             for record in &records {
                 if let Record::Bounced(_, no, flow) = record {
-                    self.take_up(*no, flow, None, now);
+                    self.restore_flow(*no, flow, None, now);
                 }
             }
         }
-        self.witness_out(&effects, lasting.is_ok(), now, &resent);
-        self.carry_out_lasting(effects, now, lasting.is_ok(), resent);
+        self.record_effects(&effects, lasting.is_ok(), now, &resent);
+        self.carry_out_durably(effects, now, lasting.is_ok(), resent);
         if soon && self.journal.syncs() {
             self.begin_sync();
         }
--- a/src/net/owner/witness.rs
+++ b/src/net/owner/step_recorder.rs
@@ -3,7 +3,7 @@
 //! What happens to each flow is put down as a [`Fact`], and events are made of many facts at once. A relay that is not
 //! busy sleeps between messages, and finds its caches cold: made one by one, events cost several times as much.
 
-mod out;
+mod effects;
 
 use super::*;
 use crate::api::Note;
@@ -26,16 +26,16 @@
 
 /// A scribe, and where its events go.
 #[derive(Debug)]
-pub struct Witness {
+pub struct StepRecorder {
     pub(super) scribe: Scribe,
     recorder: Recorder,
     facts: Vec<(Duration, Fact)>,
 }
 
-impl Witness {
+impl StepRecorder {
     /// One that has seen nothing.
-    pub fn new(scribe: Scribe, recorder: Recorder) -> Witness {
-        Witness { scribe, recorder, facts: Vec::with_capacity(2 * FACTS) }
+    pub fn new(scribe: Scribe, recorder: Recorder) -> StepRecorder {
+        StepRecorder { scribe, recorder, facts: Vec::with_capacity(2 * FACTS) }
     }
 
     /// What takes the events.
@@ -50,8 +50,8 @@
     }
 
     /// Makes events of all facts.
-    fn tell(&mut self, directory: &Directory, apart: &[bool]) {
-        let Witness { scribe, facts, .. } = self;
+    fn tell(&mut self, directory: &Directory, independent_routes: &[bool]) {
+        let StepRecorder { scribe, facts, .. } = self;
         for (at, fact) in facts.drain(..) {
             scribe.pass(at);
             match fact {
@@ -64,7 +64,7 @@
                 }
                 Fact::AttemptEnded(end, destination) => {
                     let kind = directory.get(end.server).map(|s| s.kind);
-                    let alone = kind.and_then(|k| apart.get(k.0)).copied().unwrap_or_default();
+                    let alone = kind.and_then(|k| independent_routes.get(k.0)).copied().unwrap_or_default();
                     scribe.attempt_ended(&end, directory.uid(end.server), destination, alone, at);
                 }
                 Fact::Ended(no, end, owed) => scribe.ended(no, end, owed, at),
@@ -77,48 +77,48 @@
     /// The scribe, for what does not happen with each flow: all facts before it are told first, so that events are in
     /// their order and the directory still has the servers that they name.
     pub(super) fn scribe(&mut self) -> Option<&mut Scribe> {
-        let witness = self.witness.as_mut()?;
-        witness.tell(&self.directory, &self.apart);
-        Some(&mut witness.scribe)
+        let recorder = self.recorder.as_mut()?;
+        recorder.tell(&self.directory, &self.independent_routes);
+        Some(&mut recorder.scribe)
     }
 
     fn fact(&mut self, fact: Fact, at: Duration) {
-        if let Some(witness) = &mut self.witness {
-            witness.facts.push((at, fact));
+        if let Some(recorder) = &mut self.recorder {
+            recorder.facts.push((at, fact));
         }
     }
 
     /// Something other than an offer came in.
-    pub(super) fn witness_in(&mut self, message: &ToOwner) {
-        if self.witness.is_none() {
+    pub(super) fn record_input(&mut self, message: &OwnerMessage) {
+        if self.recorder.is_none() {
             return;
         }
         let now = self.clock.now();
         match message {
-            ToOwner::Offer(_)
-            | ToOwner::List(_)
-            | ToOwner::Control(..)
-            | ToOwner::Admin(..)
-            | ToOwner::Rules(_)
-            | ToOwner::Gone(_)
-            | ToOwner::HandOver(_)
-            | ToOwner::Synced(_) => {}
-            ToOwner::CallEnded(end, _) => {
-                let destination = self.places.get(&end.flow).map(|p| p.destination).unwrap_or_default();
+            OwnerMessage::Submission(_)
+            | OwnerMessage::List(_)
+            | OwnerMessage::Control(..)
+            | OwnerMessage::Admin(..)
+            | OwnerMessage::Rules(_)
+            | OwnerMessage::Gone(_)
+            | OwnerMessage::HandOver(_)
+            | OwnerMessage::Synced(_) => {}
+            OwnerMessage::CallEnded(end, _) => {
+                let destination = self.flow_infos.get(&end.flow).map(|p| p.destination).unwrap_or_default();
                 self.fact(Fact::AttemptEnded(*end, destination), now);
             }
-            ToOwner::Probed(server, outcome, limit) => {
+            OwnerMessage::Probed(server, outcome, limit) => {
                 let (uid, destination) = (self.directory.uid(*server), self.directory.destination(*server));
                 if let Some(scribe) = self.scribe() {
                     scribe.probed(uid, destination, Some((*outcome, *limit)), now);
                 }
             }
-            ToOwner::Operator(servers, _) => {
+            OwnerMessage::Operator(servers, _) => {
                 if let Some(scribe) = self.scribe() {
                     scribe.configuration(servers.len(), now);
                 }
             }
-            ToOwner::NoticesHeard(flows) => {
+            OwnerMessage::NoticesAcknowledged(flows) => {
                 if let Some(scribe) = self.scribe() {
                     scribe.heard(flows, now);
                 }
@@ -127,10 +127,10 @@
     }
 
     /// Flows were handed in and turned away before they had numbers: one of an offer, or all.
-    pub(super) fn witness_away(&mut self, offer: &Offer, which: Option<usize>, verdict: Verdict) {
+    pub(super) fn record_rejection(&mut self, offer: &Submission, which: Option<usize>, verdict: Verdict) {
         let (why, wait) = match verdict {
-            Verdict::Taken => return,
-            Verdict::TurnedDown(wait) => (Why::Script, wait),
+            Verdict::Accepted => return,
+            Verdict::Rejected(wait) => (Why::Script, wait),
             Verdict::Ending(wait) => (Why::Ending, wait),
             Verdict::Full => (Why::Full, Duration::ZERO),
             Verdict::Failed => (Why::GivenUp, Duration::ZERO),
@@ -155,17 +155,19 @@
     }
 
     /// A flow has its number: it is offered to the core.
-    pub(super) fn witness_offer(
+    pub(super) fn record_submission(
         &mut self, no: FlowNo, terms: &FlowTerms, deadline: Duration, parcel: &Rc<Parcel>,
     ) {
         let now = self.clock.now();
-        if self.witness.is_some() {
+        if self.recorder.is_some() {
             self.fact(Fact::Offered(no, *terms, deadline, parcel.clone()), now);
         }
     }
 
     /// A flow was taken up: one that an earlier process left, or a notification that is a flow of its own.
-    pub(super) fn witness_up(&mut self, no: FlowNo, terms: &FlowTerms, flow: &TakenFlow, past: Option<Past>) {
+    pub(super) fn record_restored(
+        &mut self, no: FlowNo, terms: &FlowTerms, flow: &TakenFlow, past: Option<Past>,
+    ) {
         let now = self.clock.now();
         let Some(scribe) = self.scribe() else { return };
         let incoming = incoming(terms, flow.deadline, &flow.parcel);
@@ -179,7 +181,7 @@
     }
 
     /// The program's phase.
-    pub(super) fn witness_phase(&mut self, stage: Stage) {
+    pub(super) fn record_phase(&mut self, stage: Stage) {
         let now = self.clock.now();
         if let Some(scribe) = self.scribe() {
             scribe.phase(stage, now);
@@ -187,19 +189,19 @@
     }
 
     /// When the recorder has to be given what it has.
-    pub(super) fn witness_due(&self) -> Option<Duration> {
-        self.witness.as_ref().and_then(Witness::due)
+    pub(super) fn recorder_due(&self) -> Option<Duration> {
+        self.recorder.as_ref().and_then(StepRecorder::due)
     }
 
     /// The end of a step: once there is enough, or it has waited long enough, events are made and handed over; `last`:
     /// in any case.
-    pub(super) fn witness_step(&mut self, last: bool) {
-        let Some(witness) = &mut self.witness else { return };
+    pub(super) fn flush_recorder(&mut self, last: bool) {
+        let Some(recorder) = &mut self.recorder else { return };
         let now = self.clock.now();
-        if witness.facts.len() >= FACTS || last || witness.due().is_some_and(|due| due <= now) {
-            witness.tell(&self.directory, &self.apart);
-            witness.scribe.pass(now);
-            witness.recorder.take(witness.scribe.made(), now);
+        if recorder.facts.len() >= FACTS || last || recorder.due().is_some_and(|due| due <= now) {
+            recorder.tell(&self.directory, &self.independent_routes);
+            recorder.scribe.pass(now);
+            recorder.recorder.take(recorder.scribe.made(), now);
         }
     }
 }
--- a/src/net/owner/witness/out.rs
+++ b/src/net/owner/step_recorder/effects.rs
@@ -4,10 +4,10 @@
 
 impl Owner {
     /// The effects of a step, which are about to be carried out; `lasting`: their records are written.
-    pub(in crate::net::owner) fn witness_out(
+    pub(in crate::net::owner) fn record_effects(
         &mut self, effects: &[Effect<Rc<Parcel>>], lasting: bool, now: Duration, resent: &BTreeSet<FlowNo>,
     ) {
-        if self.witness.is_none() {
+        if self.recorder.is_none() {
             return;
         }
         for effect in effects {
@@ -20,15 +20,15 @@
                     }
                 }
                 Effect::Ended(no, parcel, end) => {
-                    let owed = owes_notice(parcel, *end) && !resent.contains(no);
+                    let owed = needs_notice(parcel, *end) && !resent.contains(no);
                     self.fact(Fact::Ended(*no, *end, owed), now);
                 }
-                other => self.witness_rare(other, now),
+                other => self.record_other_effect(other, now),
             }
         }
     }
 
-    fn witness_rare(&mut self, effect: &Effect<Rc<Parcel>>, now: Duration) {
+    fn record_other_effect(&mut self, effect: &Effect<Rc<Parcel>>, now: Duration) {
         let server = match effect {
             Effect::Probe(server) | Effect::Note(Note::Health(server, ..)) => *server,
             Effect::Accepted(..)
--- a/src/net/owner/offers.rs
+++ b/src/net/owner/submissions.rs
@@ -1,12 +1,12 @@
 //! Offers: what is looked at before a flow is handed to the core, and the verdicts.
 
-use super::drain::come_back;
+use super::drain::retry_after;
 use super::*;
 
 impl Owner {
     /// What is to be said at once of an offer, if anything.
-    pub(super) fn look_at(&mut self, offer: &Offer) -> Option<Verdict> {
-        self.last_offer = self.clock.now();
+    pub(super) fn check_submission(&mut self, offer: &Submission) -> Option<Verdict> {
+        self.last_submission = self.clock.now();
         let items = &offer.items;
         let known = position(&self.names.classes, &offer.class);
         let tenant = offer.tenant.as_ref().is_none_or(|t| position(&self.names.tenants, t).is_some());
@@ -17,18 +17,21 @@
             return Some(Verdict::Unknown(what));
         }
         let bytes = items.iter().map(|(_, p)| p.body.len() + 1024).sum();
-        if items.iter().any(|(_, p)| self.ids.get(&p.id).is_some_and(|no| self.waiting.contains_key(no))) {
+        if items
+            .iter()
+            .any(|(_, p)| self.ids.get(&p.id).is_some_and(|no| self.pending_submissions.contains_key(no)))
+        {
             // One of that id waits for its verdict; nothing can be promised in its name.
             Some(Verdict::Unknown("the id"))
         } else if items.iter().all(|(_, p)| self.ids.contains_key(&p.id)) {
             // Taken on before, and the answer was lost on its way: it is not a second flow.
-            Some(Verdict::Taken)
-        } else if let Some(verdict) = self.known_before(items) {
+            Some(Verdict::Accepted)
+        } else if let Some(verdict) = self.earlier_verdict(items) {
             Some(verdict)
-        } else if !self.takes_flows() {
-            Some(Verdict::Ending(come_back(self.draining_since, self.clock.now())))
-        } else if let Some(wait) = self.not_yet(class) {
-            Some(Verdict::TurnedDown(wait))
+        } else if !self.accepts_flows() {
+            Some(Verdict::Ending(retry_after(self.draining_since, self.clock.now())))
+        } else if let Some(wait) = self.restart_retry_after(class) {
+            Some(Verdict::Rejected(wait))
         } else if !self.core.has_capacity(items.len()) || !self.journal.has_room(items.len(), bytes) {
             Some(Verdict::Full)
         } else {
@@ -37,19 +40,19 @@
     }
 
     /// Answers an offer at once, or takes it.
-    pub(super) fn offered(&mut self, offer: Offer) {
-        match self.look_at(&offer) {
+    pub(super) fn handle_submission(&mut self, offer: Submission) {
+        match self.check_submission(&offer) {
             Some(verdict) => {
                 self.count_verdict(&offer.class, verdict, offer.items.len());
-                self.witness_away(&offer, None, verdict);
+                self.record_rejection(&offer, None, verdict);
                 let _ = offer.reply.send(vec![verdict; offer.items.len()]);
             }
-            None => self.take_offer(offer),
+            None => self.submit(offer),
         }
     }
 
     /// Hands the flows of an offer to the core, but for those that scripts turn down.
-    pub(super) fn take_offer(&mut self, offer: Offer) {
+    pub(super) fn submit(&mut self, offer: Submission) {
         let tenant_no = offer.tenant.as_ref().and_then(|t| position(&self.names.tenants, t)).map(TenantId);
         let class_no = position(&self.names.classes, &offer.class).unwrap_or_default();
         let mut turned_down = vec![None; offer.items.len()];
@@ -67,19 +70,19 @@
             turned_down.fill(Some(wait));
         }
         for (i, wait) in turned_down.iter().enumerate().filter_map(|(i, w)| Some((i, (*w)?))) {
-            self.witness_away(&offer, Some(i), Verdict::TurnedDown(wait));
-            self.count_verdict(&offer.class, Verdict::TurnedDown(wait), 1);
+            self.record_rejection(&offer, Some(i), Verdict::Rejected(wait));
+            self.count_verdict(&offer.class, Verdict::Rejected(wait), 1);
         }
-        let Offer { class, tenant, deadline, items, together, reply, .. } = offer;
+        let Submission { class, tenant, deadline, items, together, reply, .. } = offer;
         let group = self.next;
         // One moment for all: what was handed in together is as urgent and goes out in the order given.
         let remaining = deadline.saturating_sub(self.clock.now());
-        let verdicts: Vec<_> = turned_down.iter().map(|w| w.map(Verdict::TurnedDown)).collect();
+        let verdicts: Vec<_> = turned_down.iter().map(|w| w.map(Verdict::Rejected)).collect();
         if let Some(all) = verdicts.iter().copied().collect() {
             let _ = reply.send(all);
             return;
         }
-        self.groups.insert(group, Group { reply, verdicts, together });
+        self.groups.insert(group, SubmissionGroup { reply, verdicts, together });
         for (index, (destination, parcel)) in items.into_iter().enumerate() {
             if turned_down[index].is_some() {
                 continue;
@@ -90,14 +93,14 @@
             }
             self.ids.insert(parcel.id.clone(), no);
             let terms = FlowTerms { class: ClassId(class_no), tenant: tenant_no, destination, remaining };
-            self.places.insert(no, Place { destination, class: class_no, resend: false });
+            self.flow_infos.insert(no, FlowInfo { destination, class: class_no, resend: false });
             self.routing.flow_opens(no, &parcel);
-            self.witness_offer(no, &terms, deadline, &parcel);
+            self.record_submission(no, &terms, deadline, &parcel);
             self.core.submit(no, terms, parcel.clone());
             let (class, tenant) = (class.clone(), tenant.clone());
             let flow =
                 TakenFlow { deadline, class, tenant, destination: destination.0, parcel, resend_of: None };
-            self.waiting.insert(no, Waiting { group, index, flow });
+            self.pending_submissions.insert(no, PendingSubmission { group, index, flow });
         }
     }
 
@@ -111,7 +114,7 @@
         let plain = |p: &Parcel| p.mail.is_none();
         items.iter().find_map(|(to, p)| match p {
             // What no list ever named could only be held until its time is up.
-            _ if !self.directory.knows(*to) => Some("the destination"),
+            _ if !self.directory.was_named(*to) => Some("the destination"),
             p if plain(p) && keyed && p.key.is_none() => Some("no key"),
             p if plain(p) && over => Some("the time left"),
             _ => None,
@@ -120,7 +123,9 @@
 
     /// Tells the verdict on one flow; the client hears it once all of its group are there.
     pub(super) fn settle(&mut self, no: FlowNo, verdict: Verdict) {
-        let Some(Waiting { group, index, .. }) = self.waiting.remove(&no) else { return };
+        let Some(PendingSubmission { group, index, .. }) = self.pending_submissions.remove(&no) else {
+            return;
+        };
         let Some(g) = self.groups.get_mut(&group) else { return };
         g.verdicts[index] = Some(verdict);
         let verdicts: Option<Vec<_>> = g.verdicts.iter().copied().collect();
@@ -134,8 +139,8 @@
 
     /// Guards the one verdict of flows handed in together: where some are taken, the others are taken too and
     /// end at once, each with what is owed for it.
-    pub(super) fn keep_together(&self, effects: Vec<Effect<Rc<Parcel>>>) -> Vec<Effect<Rc<Parcel>>> {
-        let group = |no: &FlowNo| self.waiting.get(no).map(|w| w.group);
+    pub(super) fn accept_groups_together(&self, effects: Vec<Effect<Rc<Parcel>>>) -> Vec<Effect<Rc<Parcel>>> {
+        let group = |no: &FlowNo| self.pending_submissions.get(no).map(|w| w.group);
         let joint = |g: &u64| self.groups.get(g).is_some_and(|g| g.together);
         let taken = |e: &Effect<Rc<Parcel>>| match e {
             Effect::Accepted(no, _) => group(no).filter(joint),
--- a/src/net/owner/words.rs
+++ b/src/net/owner/text.rs
@@ -17,7 +17,7 @@
 }
 
 /// Whether whoever handed a flow in is owed word of its end. Of mail a notification is a flow of its own.
-pub(super) fn owes_notice(parcel: &Parcel, end: End) -> bool {
+pub(super) fn needs_notice(parcel: &Parcel, end: End) -> bool {
     parcel.mail.is_none() && matches!(end, End::Failed | End::Returned(_))
 }
 
--- a/src/net/owner/undelivered.rs
+++ b/src/net/owner/undelivered.rs
@@ -16,7 +16,7 @@
 /// Resends that begin in one step, at most.
 const AT_ONCE: usize = 4;
 /// How long a destination is passed over that is not known, or has no room.
-const NOT_NOW: Duration = Duration::from_secs(2);
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// A resend that is under way.
 #[derive(Debug)]
@@ -29,9 +29,9 @@
 
 impl Owner {
     /// A call ended, of whatever flow: what it shows of its destination.
-    pub(super) fn keeper_sees(&mut self, end: &CallEnd) {
+    pub(super) fn record_traffic(&mut self, end: &CallEnd) {
         let Some(keeper) = &mut self.keeper else { return };
-        let Some(destination) = self.places.get(&end.flow).map(|p| p.destination) else { return };
+        let Some(destination) = self.flow_infos.get(&end.flow).map(|p| p.destination) else { return };
         let what = match end.outcome {
             Outcome::Success => Traffic::Well,
             Outcome::Withdrawn | Outcome::Void => return,
@@ -55,13 +55,13 @@
 
     /// A mail server's 5yz is its word that it did not take the message, and that it never will (RFC 5321, 4.2.1).
     fn refused_for_good(&self, no: FlowNo) -> bool {
-        self.said.get(&no).is_some_and(|s| s.starts_with('5'))
+        self.replies.get(&no).is_some_and(|s| s.starts_with('5'))
     }
 
     /// An ordinary flow ends: it is kept, if it failed and a rule says so.
     /// Where nobody comes again with a flow whose time is up, being handed back is no end: mail has its
     /// notification, and what is kept goes again by itself, which would make two of it.
-    pub(super) fn end_at_its_time(&self, effects: &mut [Effect<Rc<Parcel>>], now: Duration) {
+    pub(super) fn fail_expired(&self, effects: &mut [Effect<Rc<Parcel>>], now: Duration) {
         for effect in effects {
             let Effect::Ended(no, parcel, end) = effect else { continue };
             let End::Returned(wait) = *end else { continue };
@@ -73,11 +73,11 @@
         }
     }
 
-    pub(super) fn keep_if_wanted(&mut self, no: FlowNo, end: End, refused: bool, now: Duration) {
+    pub(super) fn keep_failed(&mut self, no: FlowNo, end: End, refused: bool, now: Duration) {
         let Some(mut keeper) = self.keeper.take() else { return };
         if end == End::Failed {
             let of_ledger = self.journal.ledger().open.get(&no).map(|(f, _)| f.clone());
-            let flow = of_ledger.or_else(|| self.waiting.get(&no).map(|w| w.flow.clone()));
+            let flow = of_ledger.or_else(|| self.pending_submissions.get(&no).map(|w| w.flow.clone()));
             if let Some(flow) = flow {
                 let (kept, body) = self.kept(no, &flow, refused, now, &keeper);
                 keeper.keep(kept, &body);
@@ -139,7 +139,7 @@
         if delivered || sent {
             keeper.planner.resend_ended(key, delivered, now);
         } else {
-            keeper.planner.not_now(resend.flow.destination, now + NOT_NOW);
+            keeper.planner.not_now(resend.flow.destination, now + RETRY_DELAY);
         }
         if delivered {
             keeper.remove(key);
@@ -147,10 +147,10 @@
             tracing::info!(flow = no.0, key, "undelivered: delivered by a resend");
         } else if let Ok(Some(mut kept)) = keeper.shelf.get(key) {
             let rule = keeper.planner.rules().of(&kept.class, kept.destination);
-            let (tries, pause) = rule.map_or((0, NOT_NOW), |r| (r.tries, r.pause));
+            let (tries, pause) = rule.map_or((0, RETRY_DELAY), |r| (r.tries, r.pause));
             let tries = if self.refused_for_good(no) { 0 } else { tries };
             if !sent {
-                kept.not_begun(NOT_NOW, stamp);
+                kept.not_begun(RETRY_DELAY, stamp);
             } else {
                 kept.settle(self.ran(no, refused, now, &keeper.machine), tries, pause, stamp);
                 match kept.is() {
@@ -164,13 +164,13 @@
             tracing::error!(key, "undelivered: a message cannot be read; it is not sent again");
             keeper.planner.remove(key);
         }
-        self.said.remove(&no);
+        self.replies.remove(&no);
         self.keeper = Some(keeper);
         self.resend_ends.push(no);
     }
 
     /// Writes what the step changed on the shelf; the resends whose ends may be written to the journal now.
-    pub(super) fn write_shelf(&mut self) -> Vec<FlowNo> {
+    pub(super) fn write_kept_messages(&mut self) -> Vec<FlowNo> {
         let Some(keeper) = &mut self.keeper else { return Vec::new() };
         let began = self.clock.now();
         let done = keeper.write(std::mem::take(&mut self.resend_ends), false).unwrap_or_else(|e| {
@@ -189,7 +189,7 @@
 
     /// Begins what may go now. Each is on the shelf as begun before the core hears of it.
     pub(super) fn begin_resends(&mut self) {
-        if self.comeback.as_ref().is_some_and(|c| !c.kept) {
+        if self.restart.as_ref().is_some_and(|c| !c.kept) {
             return;
         }
         let now = self.clock.now();
@@ -202,13 +202,13 @@
                 let slots = (self.max_calls / SLOTS_SHARE).max(1);
                 if keeper.is_late()
                     || self.resends.len() >= slots
-                    || !self.core.has_capacity(self.most_held / HELD_SHARE)
+                    || !self.core.has_capacity(self.max_held / HELD_SHARE)
                 {
                     break;
                 }
                 let Some(pick) = keeper.planner.pick(now) else { break };
                 if !self.begin_resend(&mut keeper, pick.key, now) {
-                    keeper.planner.not_now(pick.destination, now + NOT_NOW);
+                    keeper.planner.not_now(pick.destination, now + RETRY_DELAY);
                 }
             }
             keeper.looked(now);
@@ -242,7 +242,7 @@
         let bytes = body.body.len() + 1024;
         let class = position(&self.names.classes, &kept.class);
         let (Some(class), true, true) =
-            (class, self.directory.knows(destination), self.journal.has_room(1, bytes))
+            (class, self.directory.was_named(destination), self.journal.has_room(1, bytes))
         else {
             return false;
         };
@@ -254,7 +254,7 @@
         if let Err(e) = keeper.write(Vec::new(), true) {
             tracing::error!("undelivered: {e}; no resend begins");
             keeper.take_back(&kept);
-            kept.not_begun(NOT_NOW, stamp);
+            kept.not_begun(RETRY_DELAY, stamp);
             keeper.plan(&kept);
             return false;
         }
@@ -277,9 +277,9 @@
             resend_of: Some(FlowNo(key)),
         };
         tracing::info!(flow = no.0, key, id = parcel.id, "undelivered: a resend begins");
-        self.places.insert(no, Place { destination, class, resend: true });
+        self.flow_infos.insert(no, FlowInfo { destination, class, resend: true });
         self.routing.flow_opens(no, &parcel);
-        self.witness_offer(no, &terms, flow.deadline, &parcel);
+        self.record_submission(no, &terms, flow.deadline, &parcel);
         self.resends.insert(no, Resend { key, flow });
         self.core.resubmit(no, terms, Past { risk, ..Past::default() }, parcel);
         true
--- a/src/net/phase.rs
+++ b/src/net/phase.rs
@@ -101,7 +101,7 @@
     use super::*;
 
     #[test]
-    fn the_phase_never_goes_back() {
+    fn the_phase_only_advances() {
         let phase = Phase::new();
         assert!(phase.advance(State::Serving));
         assert!(!phase.advance(State::Recovering) && !phase.advance(State::Serving));
--- a/src/net/relay/mod.rs
+++ b/src/net/relay/mod.rs
@@ -12,7 +12,7 @@
 use crate::net::mail::Dialect;
 use crate::net::mail::client::MailUpstream;
 use crate::net::mail::server::MailEdge;
-use crate::net::owner::{Ended, Owner, Parts, Witness};
+use crate::net::owner::{Ended, Owner, OwnerParts, StepRecorder};
 use crate::net::peers::{self, Link};
 use crate::net::phase::{Evacuation, Phase, State};
 use crate::net::reread::{Addresses, reread};
@@ -149,9 +149,9 @@
         Some((state, parked, handover)) => (Some(state), parked, Some(handover)),
         None => (None, Parked::default(), None),
     };
-    let parts = Parts {
+    let parts = OwnerParts {
         journal,
-        witness,
+        recorder: witness,
         keeper,
         clock,
         phase: phase.clone(),
@@ -194,7 +194,7 @@
             None => drop(spawn_local(edge.serve(listen("HTTP", http.listen).await?))),
         }
     }
-    owner.take_up_parked(parked);
+    owner.adopt_held_sockets(parked);
     let mut ours = Vec::new();
     let outcomes = config.http.as_ref().and_then(|http| http.outcomes).map(watch::Sender::new);
     if let Some(outcomes) = &outcomes {
--- a/src/net/relay/start.rs
+++ b/src/net/relay/start.rs
@@ -33,7 +33,7 @@
 /// What keeps the trace.
 pub(super) fn witness(
     config: &Config, settings: &TraceSettings, now: Duration,
-) -> Result<Witness, StartError> {
+) -> Result<StepRecorder, StartError> {
     let classes = &config.settings.classes;
     let terms =
         classes.iter().map(|c| ClassTerms { effect: c.effect, aim: c.target_latency, life: c.deadline });
@@ -48,7 +48,7 @@
     let recorder = Recorder::start(settings, whose).map_err(|e| StartError(format!("trace: {e}")))?;
     let scribe = Scribe::new(settings.events, settings.sample, config.names.clone(), terms.collect());
     tracing::info!("trace in {}", settings.folder.display());
-    Ok(Witness::new(scribe, recorder))
+    Ok(StepRecorder::new(scribe, recorder))
 }
 
 pub(super) async fn listen(what: &str, address: SocketAddr) -> Result<TcpListener, StartError> {
--- a/src/net/reread.rs
+++ b/src/net/reread.rs
@@ -1,7 +1,7 @@
 //! SIGHUP: the configuration is read anew.
 
 use super::config::Config;
-use super::inbox::ToOwner;
+use super::inbox::OwnerMessage;
 use super::routing::Staged;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,7 +19,7 @@
 /// Reads the configuration again at each SIGHUP, all of it as at the start. If it is good, discovery's address,
 /// that for notices, the operator's real servers and the relays that are gone are taken over from it; all else stays as it was.
 pub async fn reread(
-    mut hangup: Signal, operator: Option<PathBuf>, addresses: Addresses, owner: mpsc::Sender<ToOwner>,
+    mut hangup: Signal, operator: Option<PathBuf>, addresses: Addresses, owner: mpsc::Sender<OwnerMessage>,
 ) {
     let renew = |to: &Option<watch::Sender<SocketAddr>>, new: Option<SocketAddr>| {
         if let (Some(to), Some(new)) = (to, new) {
@@ -33,18 +33,18 @@
                 renew(&addresses.outcomes, config.http.and_then(|h| h.outcomes));
                 renew(&addresses.discovery, config.discovery);
                 if let Some(kept) = config.undelivered
-                    && owner.send(ToOwner::Rules(kept.rules)).await.is_err()
+                    && owner.send(OwnerMessage::Rules(kept.rules)).await.is_err()
                 {
                     return;
                 }
                 if let Some(peers) = config.peers
-                    && owner.send(ToOwner::Gone(peers.gone)).await.is_err()
+                    && owner.send(OwnerMessage::Gone(peers.gone)).await.is_err()
                 {
                     return;
                 }
                 let routing = config.routing.unwrap_or_default();
                 let anew = Staged::build(routing)
-                    .map(|staged| ToOwner::Operator(config.fixed, Some(Box::new(staged))));
+                    .map(|staged| OwnerMessage::Operator(config.fixed, Some(Box::new(staged))));
                 match anew {
                     Ok(anew) if operator.is_some() => {
                         if owner.send(anew).await.is_err() {
--- a/src/net/upgrade/give.rs
+++ b/src/net/upgrade/give.rs
@@ -4,7 +4,7 @@
 use super::state::{FORMAT, Hello, read};
 use super::wire::{Kind, Peer};
 use crate::net::config::Config;
-use crate::net::inbox::ToOwner;
+use crate::net::inbox::OwnerMessage;
 use crate::net::unix;
 use std::io;
 use std::time::Duration;
@@ -38,7 +38,7 @@
 
 /// Takes those that ask, one after the other, for as long as the program runs.
 pub async fn serve(
-    listener: UnixListener, settings: Vec<u8>, never: Option<&'static str>, owner: mpsc::Sender<ToOwner>,
+    listener: UnixListener, settings: Vec<u8>, never: Option<&'static str>, owner: mpsc::Sender<OwnerMessage>,
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -59,7 +59,7 @@
         if let Some(why) = no {
             tracing::warn!("an upgrade is refused: {why}");
             let _ = timeout(HELLO_TIME, peer.say(Kind::Never, why.as_bytes())).await;
-        } else if owner.send(ToOwner::HandOver(peer)).await.is_err() {
+        } else if owner.send(OwnerMessage::HandOver(peer)).await.is_err() {
             return;
         }
     }
--- a/src/net/upstream/call.rs
+++ b/src/net/upstream/call.rs
@@ -173,7 +173,7 @@
         if told.is_some() && !bound && answers.len() > 1 && said.0 == 200 {
             let wait = Outcome::Overloaded { wait: told };
             // Without a wait of our own: what was read must not be cut off here.
-            let _ = self.0.owner.try_send(ToOwner::Probed(order.server, wait, None));
+            let _ = self.0.owner.try_send(OwnerMessage::Probed(order.server, wait, None));
         }
         answers
     }
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -9,7 +9,7 @@
 
 use super::figures::Figures;
 use super::http::Reader;
-use super::inbox::ToOwner;
+use super::inbox::OwnerMessage;
 use super::parcel::Parcel;
 use super::pool::{Pool, Pooled};
 use super::upgrade::parking::{CallNote, IdleNote, ItemNote, ParkedCall, ParkedIdle, Parking};
@@ -34,7 +34,7 @@
 struct Inner {
     idle: Pool<Reader<TcpStream>>,
     dial_timeout: Duration,
-    owner: mpsc::Sender<ToOwner>,
+    owner: mpsc::Sender<OwnerMessage>,
     figures: Figures,
     parking: Parking,
     /// Calls that were given up and are listened to.
@@ -48,7 +48,7 @@
 impl Upstream {
     /// A pool with no connections, for so many idle ones. Ends of calls go to `owner`.
     pub fn new(
-        dial_timeout: Duration, keepalive: Duration, idle: usize, owner: mpsc::Sender<ToOwner>,
+        dial_timeout: Duration, keepalive: Duration, idle: usize, owner: mpsc::Sender<OwnerMessage>,
         figures: Figures, parking: Parking,
     ) -> Self {
         let keep = keepalive.mul_f64(KEEP_SHARE);
@@ -104,7 +104,7 @@
     async fn tell(&self, ends: Vec<CallEnd>) {
         for end in ends {
             // The owner outlives all calls but at exit.
-            let _ = self.0.owner.send(ToOwner::CallEnded(end, None)).await;
+            let _ = self.0.owner.send(OwnerMessage::CallEnded(end, None)).await;
         }
     }
 
--- a/src/net/upstream/probe.rs
+++ b/src/net/upstream/probe.rs
@@ -42,7 +42,7 @@
                 Err(_) => (Outcome::TimedOut, None),
             };
             tracing::debug!(server = server.0, ?outcome, "probed");
-            let _ = this.0.owner.send(ToOwner::Probed(server, outcome, report)).await;
+            let _ = this.0.owner.send(OwnerMessage::Probed(server, outcome, report)).await;
         });
         switch
     }
--- a/src/net/upstream/read.rs
+++ b/src/net/upstream/read.rs
@@ -58,7 +58,7 @@
             {
                 tracing::debug!(server = server.0, ?wait, "told to wait by a call given up");
                 let wait = Outcome::Overloaded { wait: Some(wait) };
-                let _ = this.0.owner.send(ToOwner::Probed(server, wait, None)).await;
+                let _ = this.0.owner.send(OwnerMessage::Probed(server, wait, None)).await;
             }
             this.0.listened.set(this.0.listened.get() - 1);
         });
--- a/src/net/upstream/tests/calls.rs
+++ b/src/net/upstream/tests/calls.rs
@@ -48,7 +48,7 @@
                 write_by: give_up_at,
             });
             match timeout(second * 9, ends.recv()).await.unwrap() {
-                Some(ToOwner::CallEnded(end, _)) => seen.push(end),
+                Some(OwnerMessage::CallEnded(end, _)) => seen.push(end),
                 other => panic!("{other:?}"),
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -125,7 +125,7 @@
             tokio::time::sleep(ms(50)).await;
             thread::sleep(ms(250));
             match timeout(ms(9000), ends.recv()).await.unwrap() {
-                Some(ToOwner::CallEnded(end, _)) => {
+                Some(OwnerMessage::CallEnded(end, _)) => {
                     assert_eq!((end.outcome, end.finished), (Outcome::Success, finished));
                 }
                 other => panic!("{other:?}"),
--- a/src/net/upstream/tests/early.rs
+++ b/src/net/upstream/tests/early.rs
@@ -32,7 +32,7 @@
                 switch.stop();
             }
             match timeout(ms(9000), ends.recv()).await.unwrap() {
-                Some(ToOwner::CallEnded(end, _)) => assert_eq!(end.outcome, outcome, "{bytes} bytes"),
+                Some(OwnerMessage::CallEnded(end, _)) => assert_eq!(end.outcome, outcome, "{bytes} bytes"),
                 other => panic!("{other:?}"),
             }
         }
--- a/src/net/upstream/tests/mod.rs
+++ b/src/net/upstream/tests/mod.rs
@@ -12,7 +12,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 /// Runs a test with something that makes calls, and where their ends are told.
-fn run(dial: Duration, body: impl AsyncFnOnce(Upstream, mpsc::Receiver<ToOwner>)) {
+fn run(dial: Duration, body: impl AsyncFnOnce(Upstream, mpsc::Receiver<OwnerMessage>)) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (owner, ends) = mpsc::channel(8);
@@ -30,10 +30,10 @@
 }
 
 /// What the owner hears next: of a call's end, or beside one.
-async fn next(ends: &mut mpsc::Receiver<ToOwner>) -> (&'static str, Outcome) {
+async fn next(ends: &mut mpsc::Receiver<OwnerMessage>) -> (&'static str, Outcome) {
     match timeout(MS * 9000, ends.recv()).await.unwrap() {
-        Some(ToOwner::CallEnded(end, _)) => ("call", end.outcome),
-        Some(ToOwner::Probed(_, outcome, _)) => ("beside", outcome),
+        Some(OwnerMessage::CallEnded(end, _)) => ("call", end.outcome),
+        Some(OwnerMessage::Probed(_, outcome, _)) => ("beside", outcome),
         other => panic!("{other:?}"),
     }
 }
