--- a/crates/onyxstile-system/src/main.rs
+++ b/crates/onyxstile-system/src/main.rs
@@ -89,7 +89,7 @@
         Command::CheckConfiguration { file } => report(check_configuration(&file)),
         Command::Status { address } => tokio::select! {
             result = status::run(address) => report(result.map(|()| "asked".into())),
-            () = signals.either() => ExitCode::FAILURE,
+            () = signals.wait_any() => ExitCode::FAILURE,
         },
         command => match Settings::from_environment() {
             Ok(settings) => {
--- a/crates/onyxstile-system/src/role.rs
+++ b/crates/onyxstile-system/src/role.rs
@@ -2,10 +2,10 @@
 
 pub mod agent;
 pub mod controller;
-pub mod held_body;
+pub mod guarded_body;
 pub mod http;
 pub mod identity;
-pub mod linger;
+pub mod lingering_close;
 pub mod listener;
 pub mod membership;
 pub mod metrics;
@@ -18,4 +18,4 @@
 pub mod status;
 pub mod storage;
 pub mod subscription;
-pub mod watched;
+pub mod watched_stream;
--- a/crates/onyxstile-system/src/role/controller.rs
+++ b/crates/onyxstile-system/src/role/controller.rs
@@ -2,12 +2,12 @@
 
 mod api;
 mod effects;
-mod exchange;
-mod figures;
-mod kept_registry;
-mod opening;
-mod peers;
+mod metric_values;
 mod planner;
+mod recovery;
+mod registry_store;
+mod registry_sync;
+mod requests;
 mod stepping;
 
 use std::cell::{Cell, RefCell};
@@ -37,11 +37,11 @@
 use crate::settings::Settings;
 use crate::swim::Class;
 use crate::tolerance::Tolerance;
-use kept_registry::KeptRegistry;
-use opening::open_record;
+use recovery::open_record;
+use registry_store::RegistryStore;
 
 /// What it takes to send a first message to the other controllers; nothing depends on it.
-const GREETING: Duration = Duration::from_millis(4);
+const ANNOUNCE_PAUSE: Duration = Duration::from_millis(4);
 
 quick_error! {
     /// Why a role can't run.
@@ -67,13 +67,13 @@
 }
 
 /// One controller process.
-pub struct Node {
+pub struct ControllerServer {
     settings: Rc<RefCell<Settings>>,
     clock: SteadyClock,
     controller: RefCell<Controller>,
     registry: RefCell<Registry>,
-    kept_registry: KeptRegistry,
-    copies: RefCell<DrainSync>,
+    registry_store: RegistryStore,
+    drain_sync: RefCell<DrainSync>,
     swim: Shared,
     client: Client,
     record: RefCell<ControlRecord<RealFolder>>,
@@ -81,12 +81,12 @@
     replies: RefCell<HashMap<u64, oneshot::Sender<Outcome>>>,
     last_number: Cell<u64>,
     changed: Notify,
-    synced: RefCell<HashMap<[u8; 4], (u64, Instant)>>,
+    sync_reports: RefCell<HashMap<[u8; 4], (u64, Instant)>>,
     relays: RefCell<Relays>,
     evidence: RefCell<EvidencePool>,
     is_planning: Cell<bool>,
     /// How long after its start it was sure of what it holds for the first time.
-    sure_after: Cell<Option<Duration>>,
+    settled_after: Cell<Option<Duration>>,
 }
 
 /// Runs the role until SIGTERM.
@@ -96,70 +96,70 @@
     let data = settings.data_dir.clone().ok_or(RoleError::Settings("data_dir"))?;
     let control = settings.listen.control.ok_or(RoleError::Settings("listen.control"))?;
     let (record, durable) = open_record(&settings, &data).map_err(|error| ("data_dir", error))?;
-    let (kept_registry, kept) = KeptRegistry::open(data).map_err(|error| ("data_dir", error))?;
+    let (registry_store, stored) = RegistryStore::open(data).map_err(|error| ("data_dir", error))?;
     let peers = socket::listen(SocketAddrV4::new(settings.ip, settings.peer_port()))
         .map_err(|error| ("peer port", error))?;
     let api = socket::listen(control).map_err(|error| ("control port", error))?;
     let swim = membership::start(&settings, Class::Core, durable.disk, clock)
         .await
         .map_err(|error| ("membership port", error))?;
-    let node = Rc::new(Node::new(settings, clock, durable, swim, record, kept_registry));
-    log::info!("{} endpoints were registered before, whole {}", kept.instances.len(), kept.is_whole);
-    node.registry.borrow_mut().restore(clock.now(), kept.instances);
+    let server = Rc::new(ControllerServer::new(settings, clock, durable, swim, record, registry_store));
+    log::info!("{} endpoints were registered before, whole {}", stored.instances.len(), stored.is_complete);
+    server.registry.borrow_mut().restore(clock.now(), stored.instances);
     // At the first start of the whole system there is nothing to be copied.
-    let is_first_start = node.settings.borrow().bootstrap;
-    *node.copies.borrow_mut() = DrainSync::new(kept.is_whole || is_first_start);
-    if is_first_start && !kept.is_whole {
+    let is_first_start = server.settings.borrow().bootstrap;
+    *server.drain_sync.borrow_mut() = DrainSync::new(stored.is_complete || is_first_start);
+    if is_first_start && !stored.is_complete {
         // So that a kill of all controllers before the first endpoint leaves none that knows it.
-        drop(node.kept_registry.write(&node.registry.borrow(), true));
+        drop(server.registry_store.write(&server.registry.borrow(), true));
     }
-    log::info!("controller {} listens at {control}", node.settings.borrow().node_name);
-    node.greet().await;
-    let (answering, asked, told) = (node.clone(), node.clone(), node.clone());
+    log::info!("controller {} listens at {control}", server.settings.borrow().node_name);
+    server.announce().await;
+    let (rpc_server, api_server, metrics_server) = (server.clone(), server.clone(), server.clone());
     let shutdown: Rc<Shutdown> = Rc::default();
     tokio::select! {
-        () = rpc::serve(peers, Rc::new(move |request| answering.clone().answer(request))) => {}
-        () = http::serve(api, clock, shutdown.clone(), move |request| api::answer(asked.clone(), request)) => {}
-        () = metrics::serve(node.settings.borrow().clone(), clock, move || told.figures()) => {}
-        () = node.clone().tick() => {}
-        () = node.clone().follow_registries() => {}
-        () = signals::reread(hangups, node.settings.clone(), |fresh| {
-            node.swim.borrow_mut().set_seeds(fresh.seed_addresses());
+        () = rpc::serve(peers, Rc::new(move |request| rpc_server.clone().answer(request))) => {}
+        () = http::serve(api, clock, shutdown.clone(), move |request| api::answer(api_server.clone(), request)) => {}
+        () = metrics::serve(server.settings.borrow().clone(), clock, move || metrics_server.metrics()) => {}
+        () = server.clone().tick() => {}
+        () = server.clone().follow_registries() => {}
+        () = signals::reload_settings(hangups, server.settings.clone(), |fresh| {
+            server.swim.borrow_mut().set_seeds(fresh.seed_addresses());
         }) => {}
-        () = end(&node, termination, &shutdown) => log::info!("the controller ends"),
+        () = end(&server, termination, &shutdown) => log::info!("the controller ends"),
     }
     Ok(())
 }
 
 /// Waits for SIGTERM; then takes no more calls of operators and endpoints, and goes on until those that came are answered: whoever
 /// asked for a change would not know whether it was made.
-async fn end(node: &Node, termination: Termination, shutdown: &Shutdown) {
-    termination.come().await;
+async fn end(server: &ControllerServer, termination: Termination, shutdown: &Shutdown) {
+    termination.received().await;
     log::info!("SIGTERM: {} pieces of work at the API are open", shutdown.open());
     shutdown.begin();
-    let grace = ShortestGrace::new(node.clock.now(), node.settings.borrow().grace());
-    if !grace.suffices(shutdown, &node.settings, node.clock).await {
+    let grace = ShortestGrace::new(server.clock.now(), server.settings.borrow().grace());
+    if !grace.wait_for_shutdown(shutdown, &server.settings, server.clock).await {
         log::warn!("the kill is near: {} pieces of work at the API are open", shutdown.open());
     }
 }
 
-impl Node {
+impl ControllerServer {
     fn new(
         settings: Settings, clock: SteadyClock, durable: Durable, swim: Shared,
-        record: ControlRecord<RealFolder>, kept_registry: KeptRegistry,
-    ) -> Node {
+        record: ControlRecord<RealFolder>, registry_store: RegistryStore,
+    ) -> ControllerServer {
         let heartbeat = Duration::from_millis(settings.heartbeat_ms);
         let controller =
             Controller::new(settings.ip, durable, settings.fault_tolerance, random_id(), clock.now())
                 .with_location(settings.location(&settings.zone))
                 .with_last_write(record.last_recovered_write());
-        Node {
+        ControllerServer {
             settings: Rc::new(RefCell::new(settings)),
             clock,
             controller: RefCell::new(controller),
             registry: RefCell::new(Registry::new(random_id(), heartbeat)),
-            kept_registry,
-            copies: RefCell::default(),
+            registry_store,
+            drain_sync: RefCell::default(),
             swim,
             client: Client::default(),
             record: RefCell::new(record),
@@ -167,19 +167,19 @@
             replies: RefCell::default(),
             last_number: Cell::new(0),
             changed: Notify::new(),
-            synced: RefCell::default(),
+            sync_reports: RefCell::default(),
             relays: RefCell::new(Relays::new(clock.now())),
             evidence: RefCell::default(),
             is_planning: Cell::new(false),
-            sure_after: Cell::new(None),
+            settled_after: Cell::new(None),
         }
     }
 
     /// Tells the other controllers how far this one is before it takes anything up: after a loss of power some hundred
     /// connections wait at each, and relays wait for what controllers tell each other.
-    async fn greet(&self) {
+    async fn announce(&self) {
         self.step(Input::Tick);
-        tokio::time::sleep(GREETING).await;
+        tokio::time::sleep(ANNOUNCE_PAUSE).await;
     }
 
     fn tolerance(&self) -> Tolerance {
--- a/crates/onyxstile-system/src/role/controller/api.rs
+++ b/crates/onyxstile-system/src/role/controller/api.rs
@@ -8,7 +8,7 @@
 use hyper::header::{HeaderValue, LOCATION};
 use hyper::{Method, Request, StatusCode};
 
-use super::Node;
+use super::ControllerServer;
 use crate::control::{Operation, Outcome};
 use crate::registry::{Instance, Stage};
 use crate::role::http::{Answer, BodyError, json, read_body, text};
@@ -18,34 +18,36 @@
 /// Most bytes of any other body.
 const BODY_MAX: usize = 64 * 1024;
 /// How long a body may take.
-const BODY_PATIENCE: Duration = Duration::from_secs(5);
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Answers one request.
-pub(super) async fn answer(node: Rc<Node>, request: Request<Incoming>) -> Answer {
+pub(super) async fn answer(server: Rc<ControllerServer>, request: Request<Incoming>) -> Answer {
     let path = request.uri().path().to_owned();
     let method = request.method().clone();
     if let Some(id) = path.strip_prefix("/api/instances/") {
         // Relays ask electors only for endpoints.
-        if let Some(elector) = node.elector_to_ask() {
+        if let Some(elector) = server.elector_to_ask() {
             return redirect(elector, &path);
         }
-        return instances(&node, &method, id, request).await;
+        return instances(&server, &method, id, request).await;
     }
     if let Some(name) = path.strip_prefix("/api/retire/") {
-        return retire(&node, &method, name).await;
+        return retire(&server, &method, name).await;
     }
     match (method, path.as_str()) {
-        (Method::PUT, "/api/config") => put_configuration(&node, request).await,
-        (Method::GET, "/api/config") => tell(node.operate(Operation::GetConfiguration).await),
+        (Method::PUT, "/api/config") => put_configuration(&server, request).await,
+        (Method::GET, "/api/config") => outcome_response(server.operate(Operation::GetConfiguration).await),
         (_, "/api/config") => text(StatusCode::METHOD_NOT_ALLOWED, ""),
         _ => text(StatusCode::NOT_FOUND, ""),
     }
 }
 
-async fn instances(node: &Node, method: &Method, id: &str, request: Request<Incoming>) -> Answer {
+async fn instances(
+    server: &ControllerServer, method: &Method, id: &str, request: Request<Incoming>,
+) -> Answer {
     let instance = match *method {
         Method::PUT => {
-            let body = match read_body(request.into_body(), BODY_MAX, BODY_PATIENCE).await {
+            let body = match read_body(request.into_body(), BODY_MAX, BODY_TIMEOUT).await {
                 Ok(body) => body,
                 Err(error) => return refuse_body(error),
             };
@@ -54,36 +56,36 @@
                 Err(error) => return text(StatusCode::BAD_REQUEST, error.to_string()),
             }
         }
-        Method::DELETE => node.registry.borrow_mut().remove(node.clock.now(), id),
+        Method::DELETE => server.registry.borrow_mut().remove(server.clock.now(), id),
         _ => return text(StatusCode::METHOD_NOT_ALLOWED, ""),
     };
     let is_leaving = instance.stage != Stage::Ready;
-    node.hold(instance.clone());
+    server.merge_record(instance.clone());
     if *method == Method::DELETE {
-        node.changed.notify_waiters();
+        server.changed.notify_waiters();
     }
-    if is_leaving && !node.replicate(&instance).await {
+    if is_leaving && !server.replicate(&instance).await {
         return text(StatusCode::SERVICE_UNAVAILABLE, "too few controllers hold it");
     }
     json(StatusCode::OK, "{}")
 }
 
-async fn put_configuration(node: &Node, request: Request<Incoming>) -> Answer {
+async fn put_configuration(server: &ControllerServer, request: Request<Incoming>) -> Answer {
     let header = request.headers().get(hyper::header::IF_MATCH).and_then(|value| value.to_str().ok());
     let base = header.and_then(|value| value.trim().trim_matches('"').parse().ok());
-    match read_body(request.into_body(), CONFIGURATION_MAX, BODY_PATIENCE).await {
+    match read_body(request.into_body(), CONFIGURATION_MAX, BODY_TIMEOUT).await {
         Ok(body) => {
             let body = Rc::new(body.to_vec());
-            tell(node.operate(Operation::PutConfiguration { base, body }).await)
+            outcome_response(server.operate(Operation::PutConfiguration { base, body }).await)
         }
         Err(error) => refuse_body(error),
     }
 }
 
-async fn retire(node: &Node, method: &Method, name: &str) -> Answer {
+async fn retire(server: &ControllerServer, method: &Method, name: &str) -> Answer {
     match *method {
-        Method::POST => tell(node.operate(Operation::Retire(name.to_owned())).await),
-        Method::GET => tell(node.operate(Operation::GetRetire(name.to_owned())).await),
+        Method::POST => outcome_response(server.operate(Operation::Retire(name.to_owned())).await),
+        Method::GET => outcome_response(server.operate(Operation::GetRetire(name.to_owned())).await),
         _ => text(StatusCode::METHOD_NOT_ALLOWED, ""),
     }
 }
@@ -106,7 +108,7 @@
 }
 
 /// The HTTP answer to an outcome.
-fn tell(outcome: Outcome) -> Answer {
+fn outcome_response(outcome: Outcome) -> Answer {
     match outcome {
         Outcome::Done => json(StatusCode::OK, "{}"),
         Outcome::Configuration(Some(configuration)) => json(StatusCode::OK, configuration.body.clone()),
--- a/crates/onyxstile-system/src/role/controller/planner.rs
+++ b/crates/onyxstile-system/src/role/controller/planner.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::Node;
+use super::ControllerServer;
 use crate::control::Operation;
 use crate::storage_plan::{Observed, StorageNode, StoragePlan};
 use crate::swim::{Class, MemberState};
@@ -14,11 +14,11 @@
 /// The first plan is not made before this time: machines start within some tenths of a second of each other.
 const FIRST_PLAN_AFTER: Duration = Duration::from_millis(700);
 /// After this time a first plan is made of fewer machines than bear all losses that should be borne.
-const NO_MORE_AFTER: Duration = Duration::from_secs(4);
+const REDUCED_PLAN_AFTER: Duration = Duration::from_secs(4);
 
-impl Node {
+impl ControllerServer {
     /// Writes the next storage plan where one is due.
-    pub(super) fn plan(self: Rc<Node>) {
+    pub(super) fn plan(self: Rc<ControllerServer>) {
         if self.is_planning.get() {
             return;
         }
@@ -32,7 +32,7 @@
             if state.storage.epoch > 0 {
                 state.storage.next(&self.observe(), self.tolerance())
             } else if age >= FIRST_PLAN_AFTER {
-                StoragePlan::first(&self.observe(), self.tolerance(), age >= NO_MORE_AFTER)
+                StoragePlan::first(&self.observe(), self.tolerance(), age >= REDUCED_PLAN_AFTER)
             } else {
                 None
             }
@@ -69,12 +69,12 @@
     fn observe(&self) -> Vec<Observed> {
         let now = self.clock.now();
         let swim = self.swim.borrow();
-        let synced = self.synced.borrow();
+        let sync_reports = self.sync_reports.borrow();
         let settings = self.settings.borrow();
         let storage = swim.members().filter(|member| member.class == Class::Storage);
         storage
             .map(|member| {
-                let report = synced.get(&member.ip).filter(|(_, at)| now.since(*at) < REPORT_LIFETIME);
+                let report = sync_reports.get(&member.ip).filter(|(_, at)| now.since(*at) < REPORT_LIFETIME);
                 let is_dead = member.state == MemberState::Dead;
                 Observed {
                     node: StorageNode {
--- a/crates/onyxstile-system/src/role/controller/kept_registry.rs
+++ b/crates/onyxstile-system/src/role/controller/registry_store.rs
@@ -14,7 +14,7 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use tokio::sync::oneshot;
 
-use super::opening::open_or_discard;
+use super::recovery::open_or_discard;
 use crate::clock::Instant;
 use crate::disk::{self, RealFolder, Versions};
 use crate::registry::{Instance, Registry};
@@ -22,20 +22,20 @@
 /// The name of the record.
 const RECORD: &str = "registry";
 /// Changes within this time are written together.
-const GATHERED_FOR: Duration = Duration::from_millis(250);
+const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What the record holds.
 #[derive(Debug, Default, BorshSerialize, BorshDeserialize)]
-pub(super) struct Kept {
+pub(super) struct StoredRegistry {
     /// Whether the controller held every acknowledged drain.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// All endpoints that it knew.
     pub instances: Vec<Instance>,
 }
 
 /// What waits to be written. A newer record takes the place of an older one, all of which it holds.
 #[derive(Default)]
-struct Waiting {
+struct PendingWrite {
     /// The record, and the registry's newest change in it.
     record: Option<(Vec<u8>, u64)>,
     answers: Vec<oneshot::Sender<bool>>,
@@ -43,7 +43,7 @@
 
 #[derive(Default)]
 struct Shared {
-    waiting: Mutex<Waiting>,
+    pending: Mutex<PendingWrite>,
     has_work: Condvar,
     is_busy: AtomicBool,
     has_failed: AtomicBool,
@@ -53,78 +53,78 @@
 
 impl Shared {
     /// A thread that panicked while it held the lock has left nothing half done in here.
-    fn waiting(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending(&self) -> MutexGuard<'_, PendingWrite> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn next(&self) -> (Vec<u8>, u64, Vec<oneshot::Sender<bool>>) {
-        let mut waiting = self.waiting();
+        let mut pending = self.pending();
         loop {
-            if let Some((record, counter)) = waiting.record.take() {
-                return (record, counter, std::mem::take(&mut waiting.answers));
+            if let Some((record, counter)) = pending.record.take() {
+                return (record, counter, std::mem::take(&mut pending.answers));
             }
-            waiting = self.has_work.wait(waiting).unwrap_or_else(PoisonError::into_inner);
+            pending = self.has_work.wait(pending).unwrap_or_else(PoisonError::into_inner);
         }
     }
 }
 
 /// The writing end.
-pub(super) struct KeptRegistry {
+pub(super) struct RegistryStore {
     shared: Arc<Shared>,
-    handed: Cell<u64>,
-    tried: Cell<Instant>,
+    submitted: Cell<u64>,
+    last_attempt: Cell<Instant>,
 }
 
-impl KeptRegistry {
+impl RegistryStore {
     /// Opens the record in a folder; returns what it holds as well. One that can't be read counts as lost.
-    pub(super) fn open(folder: PathBuf) -> io::Result<(KeptRegistry, Kept)> {
+    pub(super) fn open(folder: PathBuf) -> io::Result<(RegistryStore, StoredRegistry)> {
         let ((versions, held), _) = open_or_discard(
             || Versions::open(RealFolder::open(folder.clone())?, RECORD),
             || Versions::discard(&mut RealFolder::open(folder.clone())?, RECORD),
         )?;
-        let kept = held.map_or_else(Kept::default, |bytes| {
+        let stored = held.map_or_else(StoredRegistry::default, |bytes| {
             disk::decode(&bytes).unwrap_or_else(|error| {
                 log::warn!("the record of endpoints can't be read: {error}");
-                Kept::default()
+                StoredRegistry::default()
             })
         });
         let shared: Arc<Shared> = Arc::default();
         let writing = shared.clone();
         std::thread::spawn(move || run(versions, &writing));
-        Ok((KeptRegistry { shared, handed: Cell::new(0), tried: Cell::default() }, kept))
+        Ok((RegistryStore { shared, submitted: Cell::new(0), last_attempt: Cell::default() }, stored))
     }
 
     /// Has the registry written if it has changed, or if the disk refused it before; while the disk is busy that waits.
-    pub(super) fn keep(&self, now: Instant, registry: &Registry, is_whole: bool) {
-        let is_due = now.since(self.tried.get()) >= GATHERED_FOR;
+    pub(super) fn write_if_due(&self, now: Instant, registry: &Registry, is_complete: bool) {
+        let is_due = now.since(self.last_attempt.get()) >= WRITE_INTERVAL;
         let has_failed = self.shared.has_failed.load(Ordering::Relaxed);
-        let is_handed = registry.changes() == self.handed.get() && !has_failed;
-        if is_handed || !is_due || self.shared.is_busy.load(Ordering::Relaxed) {
+        let is_submitted = registry.changes() == self.submitted.get() && !has_failed;
+        if is_submitted || !is_due || self.shared.is_busy.load(Ordering::Relaxed) {
             return;
         }
-        self.tried.set(now);
-        drop(self.write(registry, is_whole));
+        self.last_attempt.set(now);
+        drop(self.write(registry, is_complete));
     }
 
     /// Has the registry written now unless it is; what comes back is whether it is on the disk.
-    pub(super) fn keep_now(&self, registry: &Registry, is_whole: bool) -> oneshot::Receiver<bool> {
+    pub(super) fn write_now(&self, registry: &Registry, is_complete: bool) -> oneshot::Receiver<bool> {
         if self.shared.written.load(Ordering::Acquire) >= registry.changes() {
             let (answer, receiver) = oneshot::channel();
             answer.send(true).ok();
             return receiver;
         }
-        self.write(registry, is_whole)
+        self.write(registry, is_complete)
     }
 
     /// Has the registry written, changed or not.
-    pub(super) fn write(&self, registry: &Registry, is_whole: bool) -> oneshot::Receiver<bool> {
+    pub(super) fn write(&self, registry: &Registry, is_complete: bool) -> oneshot::Receiver<bool> {
         let (answer, receiver) = oneshot::channel();
-        let record = disk::encode(&Kept { is_whole, instances: registry.records() });
-        let mut waiting = self.shared.waiting();
-        waiting.record = Some((record, registry.changes()));
-        waiting.answers.push(answer);
+        let record = disk::encode(&StoredRegistry { is_complete, instances: registry.records() });
+        let mut pending = self.shared.pending();
+        pending.record = Some((record, registry.changes()));
+        pending.answers.push(answer);
         self.shared.has_work.notify_one();
-        self.handed.set(registry.changes());
+        self.submitted.set(registry.changes());
         receiver
     }
 }
--- a/crates/onyxstile-system/src/role/controller/exchange.rs
+++ b/crates/onyxstile-system/src/role/controller/registry_sync.rs
@@ -6,58 +6,58 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::Node;
+use super::ControllerServer;
 use crate::registry::{Instance, RecordUpdate, Stage, replicas_needed};
 use crate::wire::{Request, Response};
 
 /// How long another controller has to take a record to its disk.
-const REGISTER_PATIENCE: Duration = Duration::from_millis(700);
+const REGISTER_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long a pull may wait for news.
 const WAIT: Duration = Duration::from_millis(1000);
 /// Time beyond the wait that another controller has to answer.
-const PATIENCE: Duration = Duration::from_millis(700);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause after a pull that failed.
-const PAUSE: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// What stands for the life of a controller that has not answered yet.
-const NO_LIFE: u64 = 0;
+const NO_ORIGIN: u64 = 0;
 /// How often the electors are looked at.
-const REVIEW: Duration = Duration::from_millis(100);
+const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
 
-impl Node {
+impl ControllerServer {
     /// Takes a registry record in and wakes those who wait for news.
-    pub(super) fn hold(&self, instance: Instance) {
+    pub(super) fn merge_record(&self, instance: Instance) {
         if self.registry.borrow_mut().merge(self.clock.now(), instance) {
             self.changed.notify_waiters();
         }
     }
 
     /// Takes in what another controller tells.
-    fn hold_told(&self, told: RecordUpdate) {
-        if self.registry.borrow_mut().merge_update(self.clock.now(), told) {
+    fn merge_update(&self, update: RecordUpdate) {
+        if self.registry.borrow_mut().merge_update(self.clock.now(), update) {
             self.changed.notify_waiters();
         }
     }
 
     /// Takes a record in for another controller. One of an endpoint that leaves is on the disk before the answer.
-    pub(super) async fn hold_for(&self, instance: Instance) -> Response {
+    pub(super) async fn register(&self, instance: Instance) -> Response {
         let is_leaving = instance.stage != Stage::Ready;
-        self.hold_told(RecordUpdate { instance, owner: None });
-        if is_leaving && !self.keep_registry().await { Response::Refused } else { Response::Done }
+        self.merge_update(RecordUpdate { instance, owner: None });
+        if is_leaving && !self.persist_registry().await { Response::Refused } else { Response::Done }
     }
 
     /// Has a drain on the disks of this controller and of as many others as it takes.
     pub(super) async fn replicate(&self, instance: &Instance) -> bool {
-        let (is_kept, is_held) = tokio::join!(self.keep_registry(), self.held_by_others(instance));
+        let (is_kept, is_held) = tokio::join!(self.persist_registry(), self.replicate_to_others(instance));
         is_kept && is_held
     }
 
-    async fn keep_registry(&self) -> bool {
-        let is_whole = self.copies.borrow().is_complete();
-        let written = self.kept_registry.keep_now(&self.registry.borrow(), is_whole);
+    async fn persist_registry(&self) -> bool {
+        let is_complete = self.drain_sync.borrow().is_complete();
+        let written = self.registry_store.write_now(&self.registry.borrow(), is_complete);
         written.await.unwrap_or(false)
     }
 
-    async fn held_by_others(&self, instance: &Instance) -> bool {
+    async fn replicate_to_others(&self, instance: &Instance) -> bool {
         let electors = self.electors();
         let needed = replicas_needed(electors.len(), self.tolerance().losses());
         let own = self.own();
@@ -66,7 +66,7 @@
             let (client, sender) = (self.client.clone(), sender.clone());
             let (to, request) = (self.peer(ip.into()), Request::Register(instance.clone()));
             tokio::task::spawn_local(async move {
-                let result = client.call(to, &request, REGISTER_PATIENCE).await;
+                let result = client.call(to, &request, REGISTER_TIMEOUT).await;
                 // Enough others may have answered before.
                 sender.send(matches!(result, Ok(Response::Done))).ok();
             });
@@ -90,19 +90,19 @@
             Response::Registry {
                 origin: registry.origin(),
                 counter: registry.counter(),
-                is_complete: self.copies.borrow().is_complete(),
+                is_complete: self.drain_sync.borrow().is_complete(),
                 records: registry.updates_since(origin, counter),
             }
         };
-        let is_news = |response: &Response| {
+        let is_update = |response: &Response| {
             matches!(response, Response::Registry { origin: own, counter: newest, .. }
                 if *own != origin || *newest > counter)
         };
-        self.on_news(wait_ms, answer, is_news).await
+        self.wait_for_change(wait_ms, answer, is_update).await
     }
 
     /// Pulls the records of all other electors, whoever they are.
-    pub(super) async fn follow_registries(self: Rc<Node>) {
+    pub(super) async fn follow_registries(self: Rc<ControllerServer>) {
         let mut followed: Vec<([u8; 4], tokio::task::JoinHandle<()>)> = Vec::new();
         loop {
             let (own, electors) = (self.own(), self.electors());
@@ -112,45 +112,46 @@
                     followed.push((ip, tokio::task::spawn_local(self.clone().pull_registry(ip))));
                 }
             }
-            tokio::time::sleep(REVIEW).await;
+            tokio::time::sleep(REVIEW_INTERVAL).await;
         }
     }
 
-    async fn pull_registry(self: Rc<Node>, ip: [u8; 4]) {
+    async fn pull_registry(self: Rc<ControllerServer>, ip: [u8; 4]) {
         let to = self.peer(Ipv4Addr::from(ip));
-        let (mut life, mut held) = (NO_LIFE, 0);
+        let (mut known_origin, mut held) = (NO_ORIGIN, 0);
         let mut wait = Duration::ZERO;
         while self.electors().contains(&ip) {
-            let request = Request::Registry { origin: life, counter: held, wait_ms: wait.as_millis() as u64 };
-            let result = self.client.call(to, &request, wait + PATIENCE).await;
+            let request =
+                Request::Registry { origin: known_origin, counter: held, wait_ms: wait.as_millis() as u64 };
+            let result = self.client.call(to, &request, wait + RESPONSE_TIMEOUT).await;
             let Ok(Response::Registry { origin, counter, is_complete, records }) = result else {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             };
-            if life != origin {
-                self.note_life_over(life);
+            if known_origin != origin {
+                self.forget_origin(known_origin);
             }
-            records.into_iter().for_each(|told| self.hold_told(told));
-            (life, held) = (origin, counter);
-            self.copies.borrow_mut().record_pull(ip, is_complete);
-            self.review_copies();
-            wait = if is_complete { WAIT } else { PAUSE };
+            records.into_iter().for_each(|update| self.merge_update(update));
+            (known_origin, held) = (origin, counter);
+            self.drain_sync.borrow_mut().record_pull(ip, is_complete);
+            self.review_drain_sync();
+            wait = if is_complete { WAIT } else { RETRY_DELAY };
         }
-        self.note_life_over(life);
+        self.forget_origin(known_origin);
     }
 
-    fn note_life_over(&self, life: u64) {
-        if life != NO_LIFE {
-            self.registry.borrow_mut().forget_origin(self.clock.now(), life);
+    fn forget_origin(&self, known_origin: u64) {
+        if known_origin != NO_ORIGIN {
+            self.registry.borrow_mut().forget_origin(self.clock.now(), known_origin);
         }
     }
 
-    fn review_copies(&self) {
-        let is_news = self.copies.borrow_mut().check_complete(self.own(), &self.electors());
-        if is_news {
+    fn review_drain_sync(&self) {
+        let is_update = self.drain_sync.borrow_mut().check_complete(self.own(), &self.electors());
+        if is_update {
             log::info!("holds the drains of the other controllers");
             // Written in the background; one that is lost is copied again.
-            drop(self.kept_registry.write(&self.registry.borrow(), true));
+            drop(self.registry_store.write(&self.registry.borrow(), true));
             self.changed.notify_waiters();
         }
     }
--- a/crates/onyxstile-system/src/role/controller/peers.rs
+++ b/crates/onyxstile-system/src/role/controller/requests.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::Node;
+use super::ControllerServer;
 use crate::clock::Instant;
 use crate::controller::Input;
 use crate::relays::Relay;
-use crate::role::rpc::Answer;
+use crate::role::rpc::ResponseFuture;
 use crate::swim::MemberState;
 use crate::wire::{PublishedState, PullRequest, PullResponse, Request, Response};
 
@@ -16,23 +16,23 @@
 const STARTING_FOR: Duration = Duration::from_millis(500);
 /// A controller that is not sure of what it holds for this long after its start sends what it has all the same: control is
 /// away for everyone.
-const UNSURE_FOR: Duration = Duration::from_secs(4);
+const UNSETTLED_MAX: Duration = Duration::from_secs(4);
 /// The longest that an answer waits for news.
 const WAIT_MAX: Duration = Duration::from_secs(5);
 
-impl Node {
+impl ControllerServer {
     /// Answers one request of another machine.
-    pub(super) fn answer(self: Rc<Node>, request: Request) -> Answer {
+    pub(super) fn answer(self: Rc<ControllerServer>, request: Request) -> ResponseFuture {
         match request {
             Request::Control { from, message } => {
                 self.step(Input::Message { from: from.into(), message });
                 Box::pin(std::future::ready(Response::Done))
             }
-            Request::Register(instance) => Box::pin(async move { self.hold_for(instance).await }),
+            Request::Register(instance) => Box::pin(async move { self.register(instance).await }),
             Request::Registry { origin, counter, wait_ms } => {
                 Box::pin(async move { self.registry_since(origin, counter, wait_ms).await })
             }
-            Request::Pull(pull) => Box::pin(async move { Response::Pull(self.pulled(pull).await) }),
+            Request::Pull(pull) => Box::pin(async move { Response::Pull(self.pull_response(pull).await) }),
             Request::Status => Box::pin(std::future::ready(Response::Status(self.status()))),
             _ => Box::pin(std::future::ready(Response::Refused)),
         }
@@ -57,10 +57,10 @@
         controller.view().map_or_else(Vec::new, |view| view.electors.iter().map(|id| id.ip).collect())
     }
 
-    async fn pulled(&self, pull: PullRequest) -> PullResponse {
+    async fn pull_response(&self, pull: PullRequest) -> PullResponse {
         if !pull.wants_endpoints {
             // Told also when it is 0: a storage machine that lost its disk takes back what it said before.
-            self.synced.borrow_mut().insert(pull.ip, (pull.synced_epoch, self.clock.now()));
+            self.sync_reports.borrow_mut().insert(pull.ip, (pull.synced_epoch, self.clock.now()));
         }
         if pull.wants_endpoints {
             let relay = Relay { name: pull.name.clone(), revision: pull.revision };
@@ -70,28 +70,29 @@
             self.evidence.borrow_mut().note_report(self.clock.now(), pull.ip, evidence);
         }
         // Nobody counts on a controller that has just started and is not sure of anything yet, and all are about to ask again.
-        let is_news = |pulled: &PullResponse| !self.is_starting() && has_news(pulled, &pull);
-        self.on_news(pull.wait_ms, || self.snapshot(&pull), is_news).await
+        let is_update =
+            |pull_response: &PullResponse| !self.is_starting() && has_update(pull_response, &pull);
+        self.wait_for_change(pull.wait_ms, || self.snapshot(&pull), is_update).await
     }
 
-    fn was_sure(&self) -> bool {
-        self.sure_after.get().is_some()
+    fn was_settled(&self) -> bool {
+        self.settled_after.get().is_some()
     }
 
     /// Whether this controller sends a state to those who ask: not an older one while it may be about to learn of the newest.
     fn may_send_state(&self) -> bool {
-        self.was_sure() || self.clock.now().since(Instant::default()) >= UNSURE_FOR
+        self.was_settled() || self.clock.now().since(Instant::default()) >= UNSETTLED_MAX
     }
 
     /// The first answer that is news to whoever asked, or the last one before `wait_ms` are over.
-    pub(super) async fn on_news<T>(
-        &self, wait_ms: u64, answer: impl Fn() -> T, is_news: impl Fn(&T) -> bool,
+    pub(super) async fn wait_for_change<T>(
+        &self, wait_ms: u64, answer: impl Fn() -> T, is_update: impl Fn(&T) -> bool,
     ) -> T {
         let until = tokio::time::Instant::now() + Duration::from_millis(wait_ms).min(WAIT_MAX);
         loop {
             let changed = self.changed.notified();
             let answer = answer();
-            if is_news(&answer) || tokio::time::timeout_at(until, changed).await.is_err() {
+            if is_update(&answer) || tokio::time::timeout_at(until, changed).await.is_err() {
                 return answer;
             }
         }
@@ -100,9 +101,9 @@
     fn snapshot(&self, pull: &PullRequest) -> PullResponse {
         let controller = self.controller.borrow();
         let registry = self.registry.borrow();
-        self.note_sure();
+        self.note_settled();
         if self.is_starting() {
-            return self.introduction(pull);
+            return self.startup_response(pull);
         }
         let state = controller.committed_state();
         let sequence = state.map_or(0, |state| state.sequence);
@@ -112,7 +113,7 @@
         PullResponse {
             view: controller.installed(),
             electors: self.electors(),
-            is_settled: self.is_sure(),
+            is_settled: self.is_settled(),
             sequence,
             state: wanted.map(|state| PublishedState {
                 sequence,
@@ -134,27 +135,27 @@
     }
 
     /// Whether relays may count on what this controller holds.
-    pub(super) fn is_sure(&self) -> bool {
-        self.controller.borrow().is_stable() && self.copies.borrow().is_complete()
+    pub(super) fn is_settled(&self) -> bool {
+        self.controller.borrow().is_stable() && self.drain_sync.borrow().is_complete()
     }
 
     /// Notes when it was sure of what it holds for the first time.
-    pub(super) fn note_sure(&self) {
-        if !self.was_sure() && self.is_sure() {
+    pub(super) fn note_settled(&self) {
+        if !self.was_settled() && self.is_settled() {
             let after = self.clock.now().since(Instant::default());
             log::info!("sure of what it holds {} ms after its start", after.as_millis());
-            self.sure_after.set(Some(after));
+            self.settled_after.set(Some(after));
         }
     }
 
     /// Whether it has just started and may be sure of what it holds in a moment.
     fn is_starting(&self) -> bool {
-        !self.was_sure() && self.clock.now().since(Instant::default()) < STARTING_FOR
+        !self.was_settled() && self.clock.now().since(Instant::default()) < STARTING_FOR
     }
 
     /// The answer of a controller that has just started: who the electors are, and nothing that costs time, for all machines ask
     /// at once after a loss of power, and the controllers have to hear each other first.
-    fn introduction(&self, pull: &PullRequest) -> PullResponse {
+    fn startup_response(&self, pull: &PullRequest) -> PullResponse {
         PullResponse {
             view: self.controller.borrow().installed(),
             electors: self.electors(),
@@ -183,7 +184,7 @@
         lines.push(format!(
             "endpoints ready {} drains whole {}",
             self.registry.borrow().ready(),
-            self.copies.borrow().is_complete()
+            self.drain_sync.borrow().is_complete()
         ));
         let revision = controller.committed_state().map_or(0, |state| state.revision());
         lines.extend(self.relays.borrow().lines(self.clock.now(), revision));
@@ -192,9 +193,9 @@
     }
 }
 
-fn has_news(pulled: &PullResponse, pull: &PullRequest) -> bool {
-    let is_newer = pulled.sequence > pull.sequence;
+fn has_update(pull_response: &PullResponse, pull: &PullRequest) -> bool {
+    let is_newer = pull_response.sequence > pull.sequence;
     let has_endpoints =
-        pull.wants_endpoints && (pulled.origin != pull.origin || pulled.counter > pull.counter);
-    is_newer || has_endpoints || pulled.is_settled && !pull.is_counted
+        pull.wants_endpoints && (pull_response.origin != pull.origin || pull_response.counter > pull.counter);
+    is_newer || has_endpoints || pull_response.is_settled && !pull.is_counted
 }
--- a/crates/onyxstile-system/src/role/controller/stepping.rs
+++ b/crates/onyxstile-system/src/role/controller/stepping.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::oneshot;
 
-use super::Node;
+use super::ControllerServer;
 use crate::control::{ElectorId, Message, Operation, Outcome};
 use crate::controller::Input;
 use crate::swim::{Class, MemberState};
@@ -16,13 +16,13 @@
 /// How often the state machine's clock is looked at.
 const TICK: Duration = Duration::from_millis(25);
 /// The operator's callers go on to another machine after a second of silence, so an answer comes before that.
-const OPERATION_PATIENCE: Duration = Duration::from_millis(850);
+const OPERATION_TIMEOUT: Duration = Duration::from_millis(850);
 
-impl Node {
+impl ControllerServer {
     /// Looks at the clock again and again.
-    pub(super) async fn tick(self: Rc<Node>) {
+    pub(super) async fn tick(self: Rc<ControllerServer>) {
         loop {
-            self.note_sure();
+            self.note_settled();
             self.step(Input::Live(self.live_controllers()));
             self.step(Input::DeadStorage(self.dead_storage()));
             self.step(Input::Tick);
@@ -31,8 +31,8 @@
             }
             self.relays.borrow_mut().tick(self.clock.now());
             self.evidence.borrow_mut().tick(self.clock.now());
-            let is_whole = self.copies.borrow().is_complete();
-            self.kept_registry.keep(self.clock.now(), &self.registry.borrow(), is_whole);
+            let is_complete = self.drain_sync.borrow().is_complete();
+            self.registry_store.write_if_due(self.clock.now(), &self.registry.borrow(), is_complete);
             self.clone().plan();
             tokio::time::sleep(TICK).await;
         }
@@ -59,11 +59,11 @@
         let before = self.position();
         let effects = self.controller.borrow_mut().step(now, input);
         for effect in effects {
-            if !self.carry_out(now, effect) {
+            if !self.execute(now, effect) {
                 return;
             }
         }
-        self.fold_writes(now);
+        self.snapshot_if_due(now);
         if self.position() != before {
             self.changed.notify_waiters();
         }
@@ -87,7 +87,7 @@
         let (sender, receiver) = oneshot::channel();
         self.replies.borrow_mut().insert(number, sender);
         self.step(Input::Operation { number, operation });
-        let outcome = tokio::time::timeout(OPERATION_PATIENCE, receiver).await;
+        let outcome = tokio::time::timeout(OPERATION_TIMEOUT, receiver).await;
         self.replies.borrow_mut().remove(&number);
         match outcome {
             Ok(Ok(outcome)) => outcome,
--- a/crates/onyxstile-system/src/role/held_body.rs
+++ b/crates/onyxstile-system/src/role/guarded_body.rs
@@ -6,19 +6,19 @@
 use hyper::body::{Body, Frame, SizeHint};
 
 /// A body, and what lives as long as it.
-pub struct HeldBody<B, H> {
+pub struct GuardedBody<B, G> {
     body: B,
-    _held: H,
+    _guard: G,
 }
 
-impl<B, H> HeldBody<B, H> {
+impl<B, G> GuardedBody<B, G> {
     /// Holds `held` for as long as the body is not whole.
-    pub fn new(body: B, held: H) -> HeldBody<B, H> {
-        HeldBody { body, _held: held }
+    pub fn new(body: B, guard: G) -> GuardedBody<B, G> {
+        GuardedBody { body, _guard: guard }
     }
 }
 
-impl<B: Body + Unpin, H: Unpin> Body for HeldBody<B, H> {
+impl<B: Body + Unpin, G: Unpin> Body for GuardedBody<B, G> {
     type Data = B::Data;
     type Error = B::Error;
 
--- a/crates/onyxstile-system/src/role/http.rs
+++ b/crates/onyxstile-system/src/role/http.rs
@@ -10,7 +10,7 @@
 use hyper::{Request, Response, StatusCode};
 use tokio::net::TcpListener;
 
-use super::listener::{self, Reading};
+use super::listener::{self, ReadLimits};
 use super::shutdown::Shutdown;
 use crate::clock::SteadyClock;
 use crate::connection_watchdog::ConnectionTimeouts;
@@ -45,15 +45,15 @@
 }
 
 /// A body as a whole, of at most `most` bytes, that ends within `patience`.
-pub async fn read_body<B>(body: B, most: usize, patience: Duration) -> Result<Bytes, BodyError>
+pub async fn read_body<B>(body: B, max_bytes: usize, timeout: Duration) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes>,
     B::Error: std::error::Error + Send + Sync + 'static,
 {
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(BodyError::TooLong);
     }
-    let Ok(result) = tokio::time::timeout(patience, Limited::new(body, most).collect()).await else {
+    let Ok(result) = tokio::time::timeout(timeout, Limited::new(body, max_bytes).collect()).await else {
         return Err(BodyError::TooSlow);
     };
     match result {
@@ -64,8 +64,8 @@
 }
 
 /// What endpoints, operators and the platform are allowed: they keep connections between heartbeats.
-const READING: Reading = Reading {
-    bounds: ConnectionTimeouts { head: Duration::from_secs(3), idle: Duration::from_secs(60) },
+const READ_LIMITS: ReadLimits = ReadLimits {
+    timeouts: ConnectionTimeouts { head: Duration::from_secs(3), idle: Duration::from_secs(60) },
     head_max: None,
 };
 
@@ -81,7 +81,7 @@
         let (answer, shutdown) = (answer.clone(), ending.clone());
         async move {
             let _work = work;
-            listener::serve(stream, clock, READING, &shutdown, |request| answer(request)).await;
+            listener::serve(stream, clock, READ_LIMITS, &shutdown, |request| answer(request)).await;
         }
     })
     .await;
--- a/crates/onyxstile-system/src/role/linger.rs
+++ b/crates/onyxstile-system/src/role/lingering_close.rs
@@ -11,40 +11,40 @@
 use tokio::time::{Instant, Sleep};
 
 /// A client that sends nothing more and does not close is waited for this long: a lost packet comes again after a second.
-const REST: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// One that goes on sending is read for this long in all.
-const MOST: Duration = Duration::from_secs(30);
+const TOTAL_TIMEOUT: Duration = Duration::from_secs(30);
 /// Bytes dropped at a time.
-const PIECE: usize = 8 * 1024;
+const CHUNK_BYTES: usize = 8 * 1024;
 /// Pieces in one turn of the process: others are served meanwhile.
-const PIECES_A_TURN: usize = 16;
+const CHUNKS_PER_POLL: usize = 16;
 
 /// How far a lingering close is.
-pub struct Linger {
-    ends: Instant,
-    dropped: u64,
+pub struct LingeringClose {
+    deadline: Instant,
+    discarded: u64,
 }
 
-impl Linger {
+impl LingeringClose {
     /// The writing half has just been shut; `sleep` is the connection's one timer.
-    pub fn begin(sleep: Pin<&mut Sleep>) -> Linger {
+    pub fn begin(sleep: Pin<&mut Sleep>) -> LingeringClose {
         let now = Instant::now();
-        sleep.reset(now + REST);
-        Linger { ends: now + MOST, dropped: 0 }
+        sleep.reset(now + IDLE_TIMEOUT);
+        LingeringClose { deadline: now + TOTAL_TIMEOUT, discarded: 0 }
     }
 
     /// Bytes dropped so far.
-    pub fn dropped(&self) -> u64 {
-        self.dropped
+    pub fn discarded(&self) -> u64 {
+        self.discarded
     }
 
     /// Reads and drops; ready once the client has closed or a bound is reached.
     pub fn poll<S: AsyncRead + Unpin>(
         &mut self, stream: &mut S, mut sleep: Pin<&mut Sleep>, cx: &mut Context<'_>,
     ) -> Poll<()> {
-        for _ in 0..PIECES_A_TURN {
-            let mut piece = [0; PIECE];
-            let mut buffer = ReadBuf::new(&mut piece);
+        for _ in 0..CHUNKS_PER_POLL {
+            let mut chunk = [0; CHUNK_BYTES];
+            let mut buffer = ReadBuf::new(&mut chunk);
             let Poll::Ready(result) = Pin::new(&mut *stream).poll_read(cx, &mut buffer) else {
                 return sleep.poll(cx);
             };
@@ -52,11 +52,11 @@
             if result.is_err() || read == 0 {
                 return Poll::Ready(());
             }
-            self.dropped += read as u64;
-            sleep.as_mut().reset(self.ends.min(Instant::now() + REST));
+            self.discarded += read as u64;
+            sleep.as_mut().reset(self.deadline.min(Instant::now() + IDLE_TIMEOUT));
         }
         // More may be there: the next turn goes on, unless the time is over.
-        if Instant::now() >= self.ends {
+        if Instant::now() >= self.deadline {
             return Poll::Ready(());
         }
         cx.waker().wake_by_ref();
--- a/crates/onyxstile-system/src/role/listener.rs
+++ b/crates/onyxstile-system/src/role/listener.rs
@@ -16,23 +16,23 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::{TcpListener, TcpStream};
 
-use super::held_body::HeldBody;
-use super::shutdown::{Shutdown, Work};
+use super::guarded_body::GuardedBody;
+use super::shutdown::{Shutdown, WorkGuard};
 use super::socket;
-use super::watched::{State, Watched};
+use super::watched_stream::{WatchHandle, WatchedStream};
 use crate::clock::SteadyClock;
 use crate::connection_watchdog::ConnectionTimeouts;
 
 /// Pause after a failure to accept: descriptors are short, most likely.
-const PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Takes up connections until the shutdown begins, and those that wait then, and listens no more. It does not return: a role's run
 /// ends with its work, not with its listener.
 pub async fn accept<F: Future<Output = ()> + 'static>(
-    listener: TcpListener, shutdown: Rc<Shutdown>, serve: impl Fn(TcpStream, Work) -> F,
+    listener: TcpListener, shutdown: Rc<Shutdown>, serve: impl Fn(TcpStream, WorkGuard) -> F,
 ) {
     // What waits to be taken up may become work: until the listener has closed the end has not come.
-    let listening = shutdown.enter();
+    let listener_guard = shutdown.enter();
     loop {
         let accepted = tokio::select! {
             // The end goes first: a listener that always has somebody to take up closes all the same.
@@ -41,37 +41,37 @@
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((stream, _)) => take(stream, &shutdown, &serve),
+            Ok((stream, _)) => spawn_connection(stream, &shutdown, &serve),
             Err(error) => {
                 log::warn!("accepting clients: {error}");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
-    take_waiting(&listener, &shutdown, &serve).await;
+    accept_queued(&listener, &shutdown, &serve).await;
     drop(listener);
-    drop(listening);
+    drop(listener_guard);
     log::info!("the listener has closed");
     pending().await
 }
 
 /// Takes up the connections that wait at a listener: closed over them it would reset each, whatever its client has sent.
-async fn take_waiting<F: Future<Output = ()> + 'static>(
-    listener: &TcpListener, shutdown: &Rc<Shutdown>, serve: &impl Fn(TcpStream, Work) -> F,
+async fn accept_queued<F: Future<Output = ()> + 'static>(
+    listener: &TcpListener, shutdown: &Rc<Shutdown>, serve: &impl Fn(TcpStream, WorkGuard) -> F,
 ) {
-    hear_of_sockets().await;
+    yield_to_io_driver().await;
     for _ in 0..socket::BACKLOG {
-        let waiting = poll_fn(|context| match listener.poll_accept(context) {
+        let queued = poll_fn(|context| match listener.poll_accept(context) {
             Poll::Ready(Ok((stream, _))) => Poll::Ready(Some(stream)),
             Poll::Ready(Err(_)) | Poll::Pending => Poll::Ready(None),
         });
-        let Some(stream) = waiting.await else { return };
-        take(stream, shutdown, serve);
+        let Some(stream) = queued.await else { return };
+        spawn_connection(stream, shutdown, serve);
     }
 }
 
-fn take<F: Future<Output = ()> + 'static>(
-    stream: TcpStream, shutdown: &Rc<Shutdown>, serve: &impl Fn(TcpStream, Work) -> F,
+fn spawn_connection<F: Future<Output = ()> + 'static>(
+    stream: TcpStream, shutdown: &Rc<Shutdown>, serve: &impl Fn(TcpStream, WorkGuard) -> F,
 ) {
     socket::prepare_client(&stream);
     tokio::task::spawn_local(serve(stream, shutdown.enter()));
@@ -79,9 +79,9 @@
 
 /// How requests are read at a listener.
 #[derive(Clone, Copy)]
-pub struct Reading {
+pub struct ReadLimits {
     /// How long a connection may stay as it is.
-    pub bounds: ConnectionTimeouts,
+    pub timeouts: ConnectionTimeouts,
     /// The longest head, in bytes; the library's own bound if not given.
     pub head_max: Option<usize>,
 }
@@ -91,28 +91,28 @@
 /// Once the shutdown has begun it is closed as soon as nothing is due on it: a head that has come in part is read to its end and
 /// answered, and so is a request behind an answer that had begun before and could not say that the connection closes.
 pub async fn serve<A, F, B>(
-    stream: TcpStream, clock: SteadyClock, reading: Reading, shutdown: &Shutdown, answer: A,
+    stream: TcpStream, clock: SteadyClock, limits: ReadLimits, shutdown: &Shutdown, answer: A,
 ) where
     A: Fn(Request<Incoming>) -> F,
     F: Future<Output = Response<B>>,
     B: Body + Unpin + 'static,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    let (stream, state) = Watched::new(stream, clock, reading.bounds);
+    let (stream, handle) = WatchedStream::new(stream, clock, limits.timeouts);
     let service = service_fn(|request| {
-        let answering = state.request();
+        let guard = handle.request();
         let answer = answer(request);
-        async move { Ok::<_, Infallible>(answer.await.map(|body| HeldBody::new(body, answering))) }
+        async move { Ok::<_, Infallible>(answer.await.map(|body| GuardedBody::new(body, guard))) }
     });
     let mut builder = Builder::new();
     builder.title_case_headers(true);
-    if let Some(most) = reading.head_max {
-        builder.max_buf_size(most);
+    if let Some(max_bytes) = limits.head_max {
+        builder.max_buf_size(max_bytes);
     }
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
     let result = tokio::select! {
         biased;
-        () = shutdown.begun() => end(connection, &state).await,
+        () = shutdown.begun() => end(connection, &handle).await,
         result = connection.as_mut() => result,
     };
     if let Err(error) = result {
@@ -121,7 +121,7 @@
 }
 
 /// Goes on with a connection until nothing is due on it, and closes it then.
-async fn end<I, S>(mut connection: Pin<&mut Connection<I, S>>, state: &State) -> hyper::Result<()>
+async fn end<I, S>(mut connection: Pin<&mut Connection<I, S>>, handle: &WatchHandle) -> hyper::Result<()>
 where
     I: Read + Write + Unpin,
     S: HttpService<Incoming>,
@@ -129,24 +129,24 @@
     S::ResBody: 'static,
     <S::ResBody as Body>::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    let mut was_at_rest = false;
+    let mut was_idle = false;
     loop {
-        let went_on = poll_fn(|context| match connection.as_mut().poll(context) {
+        let outcome = poll_fn(|context| match connection.as_mut().poll(context) {
             Poll::Ready(result) => Poll::Ready(Some(result)),
-            Poll::Pending if state.is_idle() => Poll::Ready(None),
+            Poll::Pending if handle.is_idle() => Poll::Ready(None),
             Poll::Pending => {
-                was_at_rest = false;
+                was_idle = false;
                 Poll::Pending
             }
         });
-        if let Some(result) = went_on.await {
+        if let Some(result) = outcome.await {
             return result;
         }
-        if was_at_rest {
+        if was_idle {
             break;
         }
-        was_at_rest = true;
-        hear_of_sockets().await;
+        was_idle = true;
+        yield_to_io_driver().await;
     }
     connection.as_mut().graceful_shutdown();
     connection.await
@@ -154,6 +154,6 @@
 
 /// Lets the runtime ask the system what has come: its reads go by what it last heard, and a socket that has just been taken up
 /// was not heard of at all.
-async fn hear_of_sockets() {
+async fn yield_to_io_driver() {
     tokio::task::yield_now().await;
 }
--- a/crates/onyxstile-system/src/role/metrics.rs
+++ b/crates/onyxstile-system/src/role/metrics.rs
@@ -19,13 +19,13 @@
 
 /// Tells figures to whoever asks, if the role is to tell any. Where it can't listen it says so and goes on: nothing depends on
 /// figures.
-pub async fn serve(settings: Settings, clock: SteadyClock, figures: impl Fn() -> Metrics + 'static) {
-    let Some(metrics) = settings.metrics else { return pending().await };
-    let address = SocketAddrV4::new(settings.ip, metrics.port);
+pub async fn serve(settings: Settings, clock: SteadyClock, metrics: impl Fn() -> Metrics + 'static) {
+    let Some(endpoint) = settings.metrics else { return pending().await };
+    let address = SocketAddrV4::new(settings.ip, endpoint.port);
     match socket::listen(address) {
         Ok(listener) => {
             let answer = move |request: Request<Incoming>| {
-                let answer = answer(&request, &metrics.path, &figures);
+                let answer = answer(&request, &endpoint.path, &metrics);
                 async move { answer }
             };
             http::serve(listener, clock, Rc::default(), answer).await;
@@ -37,14 +37,14 @@
     }
 }
 
-fn answer(request: &Request<Incoming>, path: &str, figures: &impl Fn() -> Metrics) -> Answer {
+fn answer(request: &Request<Incoming>, path: &str, metrics: &impl Fn() -> Metrics) -> Answer {
     if request.uri().path() != path {
         return text(StatusCode::NOT_FOUND, "");
     }
     if request.method() != Method::GET {
         return text(StatusCode::METHOD_NOT_ALLOWED, "");
     }
-    let mut answer = text(StatusCode::OK, figures().text());
+    let mut answer = text(StatusCode::OK, metrics().text());
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(FORMAT));
     answer
 }
--- a/crates/onyxstile-system/src/role/proxy.rs
+++ b/crates/onyxstile-system/src/role/proxy.rs
@@ -109,7 +109,7 @@
         () = rpc::serve(feed, Rc::new(move |request| feed_proxy.clone().handle_agent_request(request))) => {}
         () = http::serve(readiness, clock, Rc::default(), move |request| lifecycle::readiness(readiness_proxy.clone(), request)) => {}
         () = lifecycle::accept(proxy.clone(), clients) => {}
-        () = signals::reread(hangups, proxy.settings.clone(), |_| {}) => {}
+        () = signals::reload_settings(hangups, proxy.settings.clone(), |_| {}) => {}
         () = lifecycle::drain(proxy.clone(), termination) => log::info!("the proxy has drained"),
     }
     Ok(())
--- a/crates/onyxstile-system/src/role/proxy/feed.rs
+++ b/crates/onyxstile-system/src/role/proxy/feed.rs
@@ -4,12 +4,12 @@
 
 use super::{DestinationKey, Proxy};
 use crate::configuration;
-use crate::role::rpc::Answer;
+use crate::role::rpc::ResponseFuture;
 use crate::wire::{Feed, PublishedState, Request, Response};
 
 impl Proxy {
     /// Answers the agent.
-    pub(super) fn handle_agent_request(self: Rc<Proxy>, request: Request) -> Answer {
+    pub(super) fn handle_agent_request(self: Rc<Proxy>, request: Request) -> ResponseFuture {
         let response = match request {
             Request::Feed(feed) => {
                 self.apply_feed(feed);
--- a/crates/onyxstile-system/src/role/proxy/lifecycle.rs
+++ b/crates/onyxstile-system/src/role/proxy/lifecycle.rs
@@ -12,9 +12,9 @@
 use crate::configuration::ClientLimits;
 use crate::connection_watchdog::ConnectionTimeouts;
 use crate::role::http::{Answer, text};
-use crate::role::listener::{self, Reading};
+use crate::role::listener::{self, ReadLimits};
 use crate::role::shortest_grace::ShortestGrace;
-use crate::role::shutdown::Work;
+use crate::role::shutdown::WorkGuard;
 use crate::role::signals::Termination;
 
 /// The platform takes a relay out after two misses, a second apart; until then clients still come.
@@ -39,7 +39,7 @@
     listener::accept(listener, shutdown, |stream, work| serve(proxy.clone(), stream, work)).await;
 }
 
-async fn serve(proxy: Rc<Proxy>, stream: TcpStream, _work: Work) {
+async fn serve(proxy: Rc<Proxy>, stream: TcpStream, _work: WorkGuard) {
     let shutdown = proxy.phase.shutdown();
     let limits = read_limits(&proxy.client_limits());
     listener::serve(stream, proxy.clock, limits, &shutdown, |request| {
@@ -48,28 +48,28 @@
     .await;
 }
 
-fn read_limits(limits: &ClientLimits) -> Reading {
-    let bounds = ConnectionTimeouts {
+fn read_limits(limits: &ClientLimits) -> ReadLimits {
+    let timeouts = ConnectionTimeouts {
         head: Duration::from_millis(limits.header_timeout_ms),
         idle: Duration::from_millis(limits.idle_timeout_ms),
     };
-    Reading { bounds, head_max: Some(limits.max_header_bytes.max(MIN_HEAD_LIMIT)) }
+    ReadLimits { timeouts, head_max: Some(limits.max_header_bytes.max(MIN_HEAD_LIMIT)) }
 }
 
 /// Waits for SIGTERM; then refuses readiness, goes on for as long as clients are still sent here, and ends once the listener is
 /// closed and every connection has ended, or shortly before the kill.
 pub(super) async fn drain(proxy: Rc<Proxy>, termination: Termination) {
-    termination.come().await;
+    termination.received().await;
     log::info!("SIGTERM: draining");
     let settings = &proxy.settings;
     let grace = proxy.phase.drain(ShortestGrace::new(proxy.clock.now(), settings.borrow().grace()));
-    grace.reached(settings, proxy.clock, listener_close_time).await;
+    grace.wait_until(settings, proxy.clock, listener_close_time).await;
     let shutdown = proxy.phase.shutdown();
     shutdown.begin();
     log::info!("the listener closes: {}", open_work(&proxy));
     let requests_before = proxy.counts.requests();
     // The end of all work, not a look at the open requests: a connection that is open may still bring one.
-    if !grace.suffices(&shutdown, settings, proxy.clock).await {
+    if !grace.wait_for_shutdown(&shutdown, settings, proxy.clock).await {
         log::warn!("the kill is near: {}", open_work(&proxy));
     }
     tokio::time::sleep(FLUSH_TIME).await;
@@ -79,7 +79,7 @@
 
 /// When the listener closes.
 fn listener_close_time(grace: &ShortestGrace) -> Instant {
-    grace.told() + ACCEPT_WHILE_DRAINING.min(grace.grace() / 2)
+    grace.sigterm_at() + ACCEPT_WHILE_DRAINING.min(grace.grace() / 2)
 }
 
 /// What is open, for the log.
--- a/crates/onyxstile-system/src/role/proxy/phase.rs
+++ b/crates/onyxstile-system/src/role/proxy/phase.rs
@@ -57,7 +57,7 @@
 
     /// Whether the listener is closed and the process ends before an answer that may come until `last`.
     pub(super) fn ends_before(&self, last: Instant) -> bool {
-        self.shutdown.is_begun() && self.drain.get().is_some_and(|grace| grace.ends() < last)
+        self.shutdown.is_begun() && self.drain.get().is_some_and(|grace| grace.deadline() < last)
     }
 
     /// Whether SIGTERM has come.
--- a/crates/onyxstile-system/src/role/rpc.rs
+++ b/crates/onyxstile-system/src/role/rpc.rs
@@ -3,7 +3,7 @@
 mod frame;
 mod server;
 
-pub use server::{Answer, Handler, serve};
+pub use server::{Handler, ResponseFuture, serve};
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -23,15 +23,15 @@
 use frame::{read_frame, write_frames};
 
 /// A first connection has to come up within this time: some round trips between regions.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(150);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// After this many failures the next attempts have twice the time: the link may be crowded.
-const FAILURES_A_DOUBLING: u32 = 2;
+const FAILURES_PER_DOUBLING: u32 = 2;
 /// The most doublings.
 const DOUBLINGS_MAX: u32 = 3;
 /// Frames that may wait for a peer that does not read; beyond, calls fail at once.
 const OUTGOING_MAX: usize = 4096;
 /// The number of frames that want no answer.
-const ONE_WAY: u64 = 0;
+const ONE_WAY_CALL: u64 = 0;
 
 quick_error! {
     /// Why a call has no answer.
@@ -57,7 +57,7 @@
 struct Connection {
     outgoing: mpsc::Sender<(u64, Vec<u8>)>,
     pending: Pending,
-    serial: u64,
+    connection_id: u64,
 }
 
 #[derive(Default)]
@@ -66,7 +66,7 @@
     /// Connections in a row that did not come up.
     failures: HashMap<SocketAddrV4, u32>,
     last_call: u64,
-    last_serial: u64,
+    last_connection_id: u64,
 }
 
 /// Calls to other machines.
@@ -78,16 +78,16 @@
 impl Client {
     /// Asks a peer and waits for its answer, `patience` at most.
     pub async fn call(
-        &self, to: SocketAddrV4, request: &Request, patience: Duration,
+        &self, to: SocketAddrV4, request: &Request, timeout: Duration,
     ) -> Result<Response, RpcError> {
         let (sender, receiver) = oneshot::channel();
-        let serial = self.post(to, request, Some(sender))?;
-        match tokio::time::timeout(patience, receiver).await {
+        let connection_id = self.enqueue(to, request, Some(sender))?;
+        match tokio::time::timeout(timeout, receiver).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(_)) => Err(RpcError::Disconnected),
             Err(_) => {
                 // Whether the peer is slow or gone can't be told; the next call gets a connection of its own.
-                self.disconnect(to, serial);
+                self.disconnect(to, connection_id);
                 Err(RpcError::TimedOut)
             }
         }
@@ -95,18 +95,18 @@
 
     /// Sends what wants no answer; it may be lost.
     pub fn cast(&self, to: SocketAddrV4, request: &Request) {
-        if let Err(error) = self.post(to, request, None) {
+        if let Err(error) = self.enqueue(to, request, None) {
             log::debug!("to {to}: {error}");
         }
     }
 
-    fn post(
+    fn enqueue(
         &self, to: SocketAddrV4, request: &Request, answer: Option<oneshot::Sender<Response>>,
     ) -> Result<u64, RpcError> {
         let bytes = wire::encode(request);
         let mut state = self.state.borrow_mut();
         state.last_call += 1;
-        let number = if answer.is_some() { state.last_call } else { ONE_WAY };
+        let number = if answer.is_some() { state.last_call } else { ONE_WAY_CALL };
         if !state.connections.contains_key(&to) {
             let connection = self.open(&mut state, to);
             state.connections.insert(to, connection);
@@ -119,33 +119,33 @@
             connection.pending.borrow_mut().remove(&number);
             RpcError::Congested
         })?;
-        Ok(connection.serial)
+        Ok(connection.connection_id)
     }
 
     fn open(&self, state: &mut State, to: SocketAddrV4) -> Connection {
-        state.last_serial += 1;
-        let serial = state.last_serial;
+        state.last_connection_id += 1;
+        let connection_id = state.last_connection_id;
         let (outgoing, queue) = mpsc::channel(OUTGOING_MAX);
         let pending = Pending::default();
-        let (client, waiting) = (self.clone(), pending.clone());
-        let patience = connect_patience(state.failures.get(&to).copied().unwrap_or(0));
+        let (client, pending_calls) = (self.clone(), pending.clone());
+        let timeout = connect_timeout(state.failures.get(&to).copied().unwrap_or(0));
         tokio::task::spawn_local(async move {
-            let connected = socket::connect_to_sleeper(to, patience).await;
-            client.note_connect(to, connected.is_ok());
+            let connected = socket::connect_with_retries(to, timeout).await;
+            client.record_connect(to, connected.is_ok());
             let result = match connected {
-                Ok(stream) => run_connection(stream, queue, &waiting).await,
+                Ok(stream) => run_connection(stream, queue, &pending_calls).await,
                 Err(error) => Err(error),
             };
             if let Err(error) = result {
                 log::debug!("connection to {to}: {error}");
             }
-            client.disconnect(to, serial);
-            waiting.borrow_mut().clear();
+            client.disconnect(to, connection_id);
+            pending_calls.borrow_mut().clear();
         });
-        Connection { outgoing, pending, serial }
+        Connection { outgoing, pending, connection_id }
     }
 
-    fn note_connect(&self, to: SocketAddrV4, is_up: bool) {
+    fn record_connect(&self, to: SocketAddrV4, is_up: bool) {
         let mut state = self.state.borrow_mut();
         if is_up {
             state.failures.remove(&to);
@@ -154,16 +154,16 @@
         }
     }
 
-    fn disconnect(&self, to: SocketAddrV4, serial: u64) {
+    fn disconnect(&self, to: SocketAddrV4, connection_id: u64) {
         let mut state = self.state.borrow_mut();
-        if state.connections.get(&to).is_some_and(|connection| connection.serial == serial) {
+        if state.connections.get(&to).is_some_and(|connection| connection.connection_id == connection_id) {
             state.connections.remove(&to);
         }
     }
 }
 
-fn connect_patience(failures: u32) -> Duration {
-    CONNECT_PATIENCE * (1 << (failures / FAILURES_A_DOUBLING).min(DOUBLINGS_MAX))
+fn connect_timeout(failures: u32) -> Duration {
+    CONNECT_TIMEOUT * (1 << (failures / FAILURES_PER_DOUBLING).min(DOUBLINGS_MAX))
 }
 
 async fn run_connection(
--- a/crates/onyxstile-system/src/role/rpc/server.rs
+++ b/crates/onyxstile-system/src/role/rpc/server.rs
@@ -12,14 +12,14 @@
 use tokio::sync::mpsc;
 
 use super::frame::{read_frame, write_frames};
-use super::{ONE_WAY, OUTGOING_MAX};
+use super::{ONE_WAY_CALL, OUTGOING_MAX};
 use crate::role::socket;
 use crate::wire::{self, Request, Response};
 
 /// The answer to one request, once it is there.
-pub type Answer = Pin<Box<dyn Future<Output = Response>>>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Response>>>;
 /// What answers requests.
-pub type Handler = Rc<dyn Fn(Request) -> Answer>;
+pub type Handler = Rc<dyn Fn(Request) -> ResponseFuture>;
 
 /// Answers all requests that come to a listener.
 pub async fn serve(listener: TcpListener, handler: Handler) {
@@ -62,7 +62,7 @@
         let outgoing = outgoing.clone();
         tokio::task::spawn_local(async move {
             let response = answer.await;
-            if number != ONE_WAY {
+            if number != ONE_WAY_CALL {
                 // The connection may have ended meanwhile.
                 outgoing.send((number, wire::encode(&response))).await.ok();
             }
--- a/crates/onyxstile-system/src/role/shortest_grace.rs
+++ b/crates/onyxstile-system/src/role/shortest_grace.rs
@@ -8,32 +8,32 @@
 use crate::settings::{Settings, shutdown_time};
 
 /// How often it is looked whether the settings name another grace.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The shortest grace that the settings have named since SIGTERM. Whether the kill goes by the one at SIGTERM or by a later one
 /// can't be known.
 #[derive(Debug)]
 pub struct ShortestGrace {
-    told: Instant,
+    sigterm_at: Instant,
     grace: Cell<Duration>,
 }
 
 impl ShortestGrace {
     /// SIGTERM came at `told`; the kill comes `grace` later.
-    pub fn new(told: Instant, grace: Duration) -> ShortestGrace {
-        ShortestGrace { told, grace: Cell::new(grace) }
+    pub fn new(sigterm_at: Instant, grace: Duration) -> ShortestGrace {
+        ShortestGrace { sigterm_at, grace: Cell::new(grace) }
     }
 
     /// The settings name a grace at `now`. One that is over already is not the kill's, or that had come.
-    pub fn note(&self, now: Instant, grace: Duration) {
-        if self.told + grace > now {
+    pub fn update(&self, now: Instant, grace: Duration) {
+        if self.sigterm_at + grace > now {
             self.grace.set(self.grace().min(grace));
         }
     }
 
     /// When SIGTERM came.
-    pub fn told(&self) -> Instant {
-        self.told
+    pub fn sigterm_at(&self) -> Instant {
+        self.sigterm_at
     }
 
     /// The grace that holds.
@@ -42,33 +42,33 @@
     }
 
     /// When the role ends at the latest.
-    pub fn ends(&self) -> Instant {
-        self.told + shutdown_time(self.grace())
+    pub fn deadline(&self) -> Instant {
+        self.sigterm_at + shutdown_time(self.grace())
     }
 
     /// Waits for a time that a shorter grace brings forward.
-    pub async fn reached(
+    pub async fn wait_until(
         &self, settings: &RefCell<Settings>, clock: SteadyClock, time: impl Fn(&ShortestGrace) -> Instant,
     ) {
         loop {
             let now = clock.now();
-            self.note(now, settings.borrow().grace());
+            self.update(now, settings.borrow().grace());
             let left = time(self).since(now);
             if left.is_zero() {
                 return;
             }
-            tokio::time::sleep(left.min(LOOK)).await;
+            tokio::time::sleep(left.min(CHECK_INTERVAL)).await;
         }
     }
 
     /// Waits until a shutdown has ended; false if the kill is near before that.
-    pub async fn suffices(
+    pub async fn wait_for_shutdown(
         &self, shutdown: &Shutdown, settings: &RefCell<Settings>, clock: SteadyClock,
     ) -> bool {
         tokio::select! {
             biased;
             () = shutdown.ended() => true,
-            () = self.reached(settings, clock, ShortestGrace::ends) => false,
+            () = self.wait_until(settings, clock, ShortestGrace::deadline) => false,
         }
     }
 }
--- a/crates/onyxstile-system/src/role/shutdown.rs
+++ b/crates/onyxstile-system/src/role/shutdown.rs
@@ -12,17 +12,17 @@
 #[derive(Default)]
 pub struct Shutdown {
     is_begun: Cell<bool>,
-    begins: Notify,
+    begin_notify: Notify,
     open: Cell<usize>,
-    ends: Notify,
+    end_notify: Notify,
 }
 
 impl Shutdown {
     /// From now on nothing new is begun.
     pub fn begin(&self) {
         self.is_begun.set(true);
-        self.begins.notify_waiters();
-        self.ends.notify_waiters();
+        self.begin_notify.notify_waiters();
+        self.end_notify.notify_waiters();
     }
 
     /// Whether it has begun.
@@ -37,12 +37,12 @@
 
     /// Returns once it has begun, at once if that was before.
     pub async fn begun(&self) {
-        reached(&self.begins, || self.is_begun()).await;
+        wait_until(&self.begin_notify, || self.is_begun()).await;
     }
 
     /// Returns once it has ended, at once if that was before.
     pub async fn ended(&self) {
-        reached(&self.ends, || self.is_ended()).await;
+        wait_until(&self.end_notify, || self.is_ended()).await;
     }
 
     /// Work that is open, in pieces.
@@ -51,18 +51,18 @@
     }
 
     /// Begins a piece of work.
-    pub fn enter(self: &Rc<Shutdown>) -> Work {
+    pub fn enter(self: &Rc<Shutdown>) -> WorkGuard {
         self.open.set(self.open() + 1);
-        Work(self.clone())
+        WorkGuard(self.clone())
     }
 }
 
 /// Waits for a state of which `notify` tells those who wait. It is looked at after the wait has begun: between the two no notice
 /// can pass unheard.
-async fn reached(notify: &Notify, is_reached: impl Fn() -> bool) {
+async fn wait_until(notify: &Notify, condition: impl Fn() -> bool) {
     loop {
         let notified = notify.notified();
-        if is_reached() {
+        if condition() {
             return;
         }
         notified.await;
@@ -70,13 +70,13 @@
 }
 
 /// A piece of work; the end waits for as long as it lives.
-pub struct Work(Rc<Shutdown>);
+pub struct WorkGuard(Rc<Shutdown>);
 
-impl Drop for Work {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
         self.0.open.set(self.0.open() - 1);
         if self.0.is_ended() {
-            self.0.ends.notify_waiters();
+            self.0.end_notify.notify_waiters();
         }
     }
 }
--- a/crates/onyxstile-system/src/role/signals.rs
+++ b/crates/onyxstile-system/src/role/signals.rs
@@ -9,7 +9,7 @@
 use crate::settings::Settings;
 
 /// How often the settings file is read again; it may change without a signal.
-const REREAD_EVERY: Duration = Duration::from_secs(2);
+const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The platform's signals to one process.
 pub struct Signals {
@@ -24,15 +24,15 @@
     /// process does: before its command line, its log and its settings are read.
     pub fn listen() -> Signals {
         Signals {
-            termination: Termination(heard(SignalKind::terminate(), "SIGTERM")),
-            hangups: Hangups(heard(SignalKind::hangup(), "SIGHUP")),
+            termination: Termination(register(SignalKind::terminate(), "SIGTERM")),
+            hangups: Hangups(register(SignalKind::hangup(), "SIGHUP")),
         }
     }
 
     /// Waits for either; for what has no orderly end.
-    pub async fn either(mut self) {
+    pub async fn wait_any(mut self) {
         tokio::select! {
-            () = self.termination.come() => {}
+            () = self.termination.received() => {}
             () = self.hangups.next() => {}
         }
     }
@@ -43,7 +43,7 @@
 
 impl Termination {
     /// Waits for it.
-    pub async fn come(self) {
+    pub async fn received(self) {
         match self.0 {
             Some(mut signal) => {
                 signal.recv().await;
@@ -68,17 +68,19 @@
     }
 }
 
-fn heard(kind: SignalKind, name: &str) -> Option<Signal> {
+fn register(kind: SignalKind, name: &str) -> Option<Signal> {
     // There is no log yet.
     signal(kind).inspect_err(|error| eprintln!("{name} can't be heard: {error}")).ok()
 }
 
 /// Calls `changed` with the settings after each SIGHUP and now and then; a file that can't be read changes nothing.
-pub async fn reread(mut hangups: Hangups, settings: Rc<RefCell<Settings>>, changed: impl Fn(&Settings)) {
+pub async fn reload_settings(
+    mut hangups: Hangups, settings: Rc<RefCell<Settings>>, changed: impl Fn(&Settings),
+) {
     loop {
         tokio::select! {
             () = hangups.next() => log::info!("SIGHUP: reading the settings again"),
-            () = tokio::time::sleep(REREAD_EVERY) => {}
+            () = tokio::time::sleep(RELOAD_INTERVAL) => {}
         }
         match Settings::from_environment() {
             Ok(fresh) => {
--- a/crates/onyxstile-system/src/role/status.rs
+++ b/crates/onyxstile-system/src/role/status.rs
@@ -9,11 +9,11 @@
 use crate::wire::{Request, Response};
 
 /// How long the machine has to answer.
-const PATIENCE: Duration = Duration::from_secs(3);
+const TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Asks a controller or a storage machine what it knows, and prints its lines.
 pub async fn run(address: SocketAddrV4) -> Result<(), RoleError> {
-    match Client::default().call(address, &Request::Status, PATIENCE).await {
+    match Client::default().call(address, &Request::Status, TIMEOUT).await {
         Ok(Response::Status(lines)) => {
             lines.iter().for_each(|line| println!("{line}"));
             Ok(())
--- a/crates/onyxstile-system/src/role/storage.rs
+++ b/crates/onyxstile-system/src/role/storage.rs
@@ -3,12 +3,12 @@
 //! Guarantees to the proxies: what is answered is on the disk; a machine that has lost its disk answers no quorum
 //! question until it has copied what it should hold.
 
-mod answers;
-mod figures;
 mod journal;
-mod opening;
+mod metric_values;
 mod records;
+mod recovery;
 mod repair;
+mod requests;
 
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -22,7 +22,7 @@
 use super::membership::{self, Shared};
 use super::rpc::{self, Client};
 use super::signals::{self, Signals};
-use super::subscription::{self, Wishes};
+use super::subscription::{self, SubscriptionOptions};
 use super::{metrics, socket};
 use crate::clock::SteadyClock;
 use crate::feed_state::FeedUpdate;
@@ -32,18 +32,18 @@
 use crate::swim::Class;
 use crate::tolerance::Tolerance;
 use journal::Journal;
-use opening::Found;
+use recovery::LoadedLog;
 
 /// How long a controller may hold a poll without news; reports of what is synced go out as often.
 const POLL_WAIT: Duration = Duration::from_millis(400);
 /// How often what is over is dropped.
-const HOUSEKEEPING: Duration = Duration::from_secs(1);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 /// Turns held in memory beside the disk take at most one part in this many of it: some seconds of writes, after which a program's
 /// next turn has mostly come. Others are read from the log.
-const MEMORY_PARTS_FOR_TURNS: usize = 32;
+const TURN_CACHE_MEMORY_DIVISOR: usize = 32;
 
 /// One storage process.
-pub struct Node {
+pub struct StorageServer {
     settings: Rc<RefCell<Settings>>,
     clock: SteadyClock,
     client: Client,
@@ -53,7 +53,7 @@
     next_number: Cell<RecordNumber>,
     plan: RefCell<Rc<StoragePlan>>,
     origin: u64,
-    is_whole: Cell<bool>,
+    is_complete: Cell<bool>,
     synced_epoch: Rc<Cell<u64>>,
     /// The newest epoch that this machine has gone by, in this life or an earlier one.
     epoch: Cell<u64>,
@@ -67,53 +67,53 @@
 pub async fn run(settings: Settings, signals: Signals) -> Result<(), RoleError> {
     let clock = SteadyClock::start();
     let Signals { termination, hangups } = signals;
-    let mut found = Found::open(&settings, clock.now())?;
-    found.identify(settings.bootstrap).await;
+    let mut loaded = LoadedLog::open(&settings, clock.now())?;
+    loaded.identify(settings.bootstrap).await;
     let peers = socket::listen(SocketAddrV4::new(settings.ip, settings.peer_port()))
         .map_err(|error| ("peer port", error))?;
-    let swim = membership::start(&settings, Class::Storage, found.disk, clock)
+    let swim = membership::start(&settings, Class::Storage, loaded.disk, clock)
         .await
         .map_err(|error| ("membership port", error))?;
     log::info!(
         "storage {} holds {:?} turns and programs, whole {}",
         settings.node_name,
-        found.index.sizes(),
-        found.is_whole
+        loaded.index.sizes(),
+        loaded.is_complete
     );
-    let cache_bytes = settings.limits.memory_mb as usize * 1024 * 1024 / MEMORY_PARTS_FOR_TURNS;
-    let node = Rc::new(Node {
+    let cache_bytes = settings.limits.memory_mb as usize * 1024 * 1024 / TURN_CACHE_MEMORY_DIVISOR;
+    let server = Rc::new(StorageServer {
         settings: Rc::new(RefCell::new(settings)),
         clock,
         client: Client::default(),
-        index: RefCell::new(found.index),
+        index: RefCell::new(loaded.index),
         turns: RefCell::new(TurnCache::new(cache_bytes)),
-        journal: found.journal,
-        next_number: Cell::new(found.next),
+        journal: loaded.journal,
+        next_number: Cell::new(loaded.next),
         plan: RefCell::default(),
         origin: random_id(),
-        is_whole: Cell::new(found.is_whole),
-        synced_epoch: Rc::new(Cell::new(found.synced_epoch)),
-        epoch: Cell::new(found.epoch),
+        is_complete: Cell::new(loaded.is_complete),
+        synced_epoch: Rc::new(Cell::new(loaded.synced_epoch)),
+        epoch: Cell::new(loaded.epoch),
         changed: Notify::new(),
         repair: RefCell::default(),
         swim,
-        disk: found.disk,
+        disk: loaded.disk,
     });
-    let (answering, told) = (node.clone(), node.clone());
+    let (rpc_server, metrics_server) = (server.clone(), server.clone());
     tokio::select! {
-        () = metrics::serve(node.settings.borrow().clone(), clock, move || told.figures()) => {}
-        () = rpc::serve(peers, Rc::new(move |request| answering.clone().answer(request))) => {}
-        () = node.clone().follow() => {}
-        () = node.clone().keep_house() => {}
-        () = signals::reread(hangups, node.settings.clone(), |fresh| {
-            node.swim.borrow_mut().set_seeds(fresh.seed_addresses());
+        () = metrics::serve(server.settings.borrow().clone(), clock, move || metrics_server.metrics()) => {}
+        () = rpc::serve(peers, Rc::new(move |request| rpc_server.clone().answer(request))) => {}
+        () = server.clone().follow() => {}
+        () = server.clone().expire_records() => {}
+        () = signals::reload_settings(hangups, server.settings.clone(), |fresh| {
+            server.swim.borrow_mut().set_seeds(fresh.seed_addresses());
         }) => {}
-        () = termination.come() => log::info!("SIGTERM: storage ends"),
+        () = termination.received() => log::info!("SIGTERM: storage ends"),
     }
     Ok(())
 }
 
-impl Node {
+impl StorageServer {
     fn tolerance(&self) -> Tolerance {
         self.settings.borrow().fault_tolerance
     }
@@ -127,25 +127,29 @@
     }
 
     /// Whether this machine is to hold a key, by the plan's members or by those before.
-    fn is_mine(&self, key: &Key) -> bool {
+    fn is_assigned(&self, key: &Key) -> bool {
         let plan = self.plan.borrow();
         let own = self.own();
         groups(&plan, key.placed_by(), self.tolerance()).iter().any(|group| group.members.contains(&own))
     }
 
-    async fn follow(self: Rc<Node>) {
-        let wishes = Wishes { relay: None, wait: POLL_WAIT, synced_epoch: self.synced_epoch.clone() };
-        let mut news = subscription::follow(self.settings.clone(), self.client.clone(), wishes);
-        while let Some(item) = news.recv().await {
+    async fn follow(self: Rc<StorageServer>) {
+        let options = SubscriptionOptions {
+            relay_evidence: None,
+            wait: POLL_WAIT,
+            synced_epoch: self.synced_epoch.clone(),
+        };
+        let mut updates = subscription::follow(self.settings.clone(), self.client.clone(), options);
+        while let Some(item) = updates.recv().await {
             if let FeedUpdate::State(published) = item {
-                self.clone().take_plan(published.storage).await;
+                self.clone().apply_plan(published.storage).await;
             }
         }
     }
 
-    async fn keep_house(self: Rc<Node>) {
+    async fn expire_records(self: Rc<StorageServer>) {
         loop {
-            tokio::time::sleep(HOUSEKEEPING).await;
+            tokio::time::sleep(EXPIRY_INTERVAL).await;
             let obsolete = self.index.borrow_mut().expire(self.clock.now());
             self.journal.drop_records(obsolete);
             if self.is_index_full() {
--- a/crates/onyxstile-system/src/role/storage/journal.rs
+++ b/crates/onyxstile-system/src/role/storage/journal.rs
@@ -21,11 +21,11 @@
 
 /// One record of the log.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub(super) enum Stored {
+pub(super) enum LogEntry {
     /// The id of the disk.
     Disk(u64),
     /// The machine has copied all that it should hold.
-    Whole,
+    Complete,
     /// A record of a program.
     Record {
         /// The record.
@@ -40,7 +40,7 @@
 }
 
 /// Reads one record.
-pub(super) fn read(bytes: &[u8]) -> Result<Stored, WireError> {
+pub(super) fn read(bytes: &[u8]) -> Result<LogEntry, WireError> {
     disk::decode(bytes)
 }
 
@@ -48,7 +48,7 @@
 type Numbered = (RecordNumber, Vec<u8>);
 
 /// What the thread tells while it reads the log.
-pub(super) enum Loading {
+pub(super) enum LoadEvent {
     /// Some of the records.
     Records(Vec<Numbered>),
     /// That was all; whether all that was ever acknowledged is there.
@@ -75,7 +75,7 @@
 
 impl Journal {
     /// Starts the thread on a folder that may hold `limit` bytes; what it reads there comes by the receiver.
-    pub(super) fn start(folder: PathBuf, limit: u64) -> (Journal, mpsc::Receiver<Loading>) {
+    pub(super) fn start(folder: PathBuf, limit: u64) -> (Journal, mpsc::Receiver<LoadEvent>) {
         let (jobs, queue) = mpsc::channel();
         let (sender, loading) = mpsc::sync_channel(BATCHES_WAITING);
         let used_bytes = Arc::new(AtomicU64::new(0));
@@ -90,53 +90,53 @@
     }
 
     /// Writes and syncs records; false if the disk refused, or one of them is longer than any may be.
-    pub(super) async fn append(&self, records: Vec<(RecordNumber, Stored)>) -> bool {
+    pub(super) async fn append(&self, records: Vec<(RecordNumber, LogEntry)>) -> bool {
         let bytes: Vec<Numbered> =
             records.into_iter().map(|(number, stored)| (number, disk::encode(&stored))).collect();
         if bytes.iter().any(|(_, bytes)| bytes.len() > RECORD_MAX) {
             log::warn!("a record of more than {RECORD_MAX} bytes is refused");
             return false;
         }
-        self.ask(|answer| Job::Append(bytes, answer)).await.unwrap_or(false)
+        self.request(|answer| Job::Append(bytes, answer)).await.unwrap_or(false)
     }
 
     /// Writes a record whose loss would only cost time.
-    pub(super) fn append_later(&self, number: RecordNumber, stored: &Stored) {
+    pub(super) fn append_later(&self, number: RecordNumber, stored: &LogEntry) {
         let (answer, _) = oneshot::channel();
-        self.tell(Job::Append(vec![(number, disk::encode(stored))], answer));
+        self.submit(Job::Append(vec![(number, disk::encode(stored))], answer));
     }
 
     /// What some records hold, in their order; none for those that are not there or can't be read.
     pub(super) async fn read(&self, numbers: Vec<RecordNumber>) -> Vec<Option<Vec<u8>>> {
-        self.ask(|answer| Job::Read(numbers, answer)).await.unwrap_or_default()
+        self.request(|answer| Job::Read(numbers, answer)).await.unwrap_or_default()
     }
 
     /// Drops records that need not be kept any more.
     pub(super) fn drop_records(&self, numbers: Vec<RecordNumber>) {
         if !numbers.is_empty() {
-            self.tell(Job::Drop(numbers));
+            self.submit(Job::Drop(numbers));
         }
     }
 
     /// The consequence of a loss has been drawn by all that was written until now.
     pub(super) fn accept_loss(&self) {
-        self.tell(Job::AcceptLoss);
+        self.submit(Job::AcceptLoss);
     }
 
-    fn tell(&self, job: Job) {
+    fn submit(&self, job: Job) {
         // The thread ends with the process only.
         self.jobs.send(job).ok();
     }
 
-    async fn ask<T>(&self, job: impl FnOnce(oneshot::Sender<T>) -> Job) -> Option<T> {
+    async fn request<T>(&self, job: impl FnOnce(oneshot::Sender<T>) -> Job) -> Option<T> {
         let (answer, receiver) = oneshot::channel();
-        self.tell(job(answer));
+        self.submit(job(answer));
         receiver.await.ok()
     }
 }
 
 fn run(
-    folder: PathBuf, limit: u64, loading: &mpsc::SyncSender<Loading>, queue: &mpsc::Receiver<Job>,
+    folder: PathBuf, limit: u64, loading: &mpsc::SyncSender<LoadEvent>, queue: &mpsc::Receiver<Job>,
     used_bytes: &AtomicU64,
 ) {
     let opened = OsDisk::new(&folder)
@@ -146,24 +146,24 @@
     match opened {
         Ok(OpenedLog { mut log, is_intact }) => {
             used_bytes.store(log.used_bytes(), Ordering::Relaxed);
-            loading.send(Loading::Done { is_intact }).ok();
+            loading.send(LoadEvent::Done { is_intact }).ok();
             serve(&mut log, queue, used_bytes);
         }
-        Err(error) => drop(loading.send(Loading::Failed(error))),
+        Err(error) => drop(loading.send(LoadEvent::Failed(error))),
     }
 }
 
-fn load(disk: OsDisk, limit: u64, loading: &mpsc::SyncSender<Loading>) -> Result<OpenedLog<OsDisk>, Error> {
+fn load(disk: OsDisk, limit: u64, loading: &mpsc::SyncSender<LoadEvent>) -> Result<OpenedLog<OsDisk>, Error> {
     let (mut batch, mut bytes) = (Vec::new(), 0);
     let opened = RecordLog::open(disk, limit, |number, value| {
         bytes += value.len();
         batch.push((number, value.to_vec()));
         if bytes > BATCH_BYTES {
             bytes = 0;
-            loading.send(Loading::Records(std::mem::take(&mut batch))).ok();
+            loading.send(LoadEvent::Records(std::mem::take(&mut batch))).ok();
         }
     });
-    loading.send(Loading::Records(batch)).ok();
+    loading.send(LoadEvent::Records(batch)).ok();
     opened
 }
 
@@ -209,13 +209,13 @@
     log: &mut RecordLog<OsDisk>, queue: &mpsc::Receiver<Job>, mut records: Vec<Numbered>,
     answer: oneshot::Sender<bool>, has_failed: &mut bool,
 ) -> Option<Job> {
-    let mut answers = vec![answer];
+    let mut responders = vec![answer];
     let mut other = None;
     while let Ok(job) = queue.try_recv() {
         match job {
             Job::Append(more, answer) => {
                 records.extend(more);
-                answers.push(answer);
+                responders.push(answer);
             }
             Job::Read(numbers, answer) => answer_read(log, &numbers, answer),
             job => {
@@ -231,7 +231,7 @@
         Ok(()) if had_failed => log::info!("the disk takes writes again"),
         _ => {}
     }
-    for answer in answers {
+    for answer in responders {
         // Whoever asked may have gone.
         answer.send(result.is_ok()).ok();
     }
--- a/crates/onyxstile-system/src/role/storage/records.rs
+++ b/crates/onyxstile-system/src/role/storage/records.rs
@@ -4,15 +4,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::Node;
-use super::journal::{self, Stored};
+use super::StorageServer;
+use super::journal::{self, LogEntry};
 use crate::program::{Key, Record, RecordNumber, Turn};
 use crate::role::membership::wall_clock_ms;
 
 /// The index of what is held takes at most this share of the memory; beyond it new records are refused.
 const INDEX_SHARE: f64 = 0.5;
 /// Records read from the log at once.
-const RECORDS_A_READ: usize = 64;
+const RECORDS_PER_READ: usize = 64;
 
 /// What came of looking for a turn.
 pub(super) enum Lookup {
@@ -34,7 +34,7 @@
     }
 }
 
-impl Node {
+impl StorageServer {
     /// Writes records to the disk and then takes them in; false if the disk or the memory has no room.
     pub(super) async fn write(&self, records: Vec<Record>) -> bool {
         let fresh: Vec<Record> = {
@@ -52,12 +52,12 @@
             fresh.into_iter().map(|record| (self.next_number(), record)).collect();
         let written_ms = wall_clock_ms();
         let stored = |(number, record): &(RecordNumber, Record)| {
-            (*number, Stored::Record { record: record.clone(), written_ms })
+            (*number, LogEntry::Record { record: record.clone(), written_ms })
         };
         if !self.journal.append(fresh.iter().map(stored).collect()).await {
             return false;
         }
-        self.take_in(fresh);
+        self.merge_records(fresh);
         true
     }
 
@@ -71,7 +71,7 @@
         self.next_number.replace(self.next_number.get() + 1)
     }
 
-    fn take_in(&self, records: Vec<(RecordNumber, Record)>) {
+    fn merge_records(&self, records: Vec<(RecordNumber, Record)>) {
         let now = self.clock.now();
         let mut has_changed = false;
         let mut obsolete = Vec::new();
@@ -118,12 +118,12 @@
     }
 
     /// Those of some records that are held, the first of them up to `most_bytes`; one at least.
-    pub(super) async fn records(&self, keys: &[Key], most_bytes: usize) -> Vec<Record> {
+    pub(super) async fn records(&self, keys: &[Key], max_bytes: usize) -> Vec<Record> {
         let mut records = Vec::new();
         let mut bytes = 0;
-        for keys in keys.chunks(RECORDS_A_READ) {
+        for keys in keys.chunks(RECORDS_PER_READ) {
             for record in self.records_of(keys).await {
-                if bytes >= most_bytes {
+                if bytes >= max_bytes {
                     return records;
                 }
                 if let Record::Turn(turn) = &record {
@@ -162,7 +162,7 @@
         let read = self.journal.read(numbers).await;
         read.into_iter()
             .map(|bytes| match journal::read(&bytes?) {
-                Ok(Stored::Record { record, .. }) => Some(record),
+                Ok(LogEntry::Record { record, .. }) => Some(record),
                 _ => None,
             })
             .collect()
--- a/crates/onyxstile-system/src/role/storage/opening.rs
+++ b/crates/onyxstile-system/src/role/storage/recovery.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use super::journal::{self, Journal, Loading, Stored};
+use super::journal::{self, Journal, LoadEvent, LogEntry};
 use crate::clock::Instant;
 use crate::program::{RecordIndex, RecordNumber};
 use crate::role::controller::RoleError;
@@ -17,7 +17,7 @@
 /// The record that holds the disk's id.
 const DISK: RecordNumber = 0;
 /// The record that says that the machine has copied all that it should hold.
-pub(super) const WHOLE: RecordNumber = 1;
+pub(super) const COMPLETE: RecordNumber = 1;
 /// The record of the epoch for which the machine is synced. Other records count up from [`FIRST`] and never come this far.
 pub(super) const SYNCED: RecordNumber = RecordNumber::MAX;
 /// The record of the newest epoch that the machine has gone by.
@@ -26,7 +26,7 @@
 const FIRST: RecordNumber = 2;
 
 /// The log and what it holds.
-pub(super) struct Found {
+pub(super) struct LoadedLog {
     pub journal: Journal,
     pub index: RecordIndex,
     /// The number of the next record.
@@ -34,73 +34,73 @@
     /// The id of the disk; 0 if it has none yet.
     pub disk: u64,
     /// Whether the machine holds all that it should.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// The newest epoch for which it holds all that the plan gives it.
     pub synced_epoch: u64,
     /// The newest epoch that it has gone by.
     pub epoch: u64,
     /// Whether the log has a gap whose consequence is still to be drawn.
-    has_lost: bool,
+    has_gap: bool,
 }
 
-impl Found {
+impl LoadedLog {
     /// Opens the log and reads it.
-    pub fn open(settings: &Settings, now: Instant) -> Result<Found, RoleError> {
+    pub fn open(settings: &Settings, now: Instant) -> Result<LoadedLog, RoleError> {
         let folder = settings.data_dir.clone().ok_or(RoleError::Settings("data_dir"))?;
-        let (mut found, is_intact) = Found::read(folder, log_limit(settings.limits.disk_mb), now)?;
+        let (mut loaded, is_intact) = LoadedLog::read(folder, log_limit(settings.limits.disk_mb), now)?;
         if !is_intact {
             log::error!("the log has a gap: what it holds is kept, and all is copied anew from the others");
             // What it acknowledged it may have lost: it is another disk from now on.
-            found.disk = 0;
-            found.is_whole = false;
-            found.synced_epoch = 0;
-            found.has_lost = true;
-            found.journal.drop_records(vec![WHOLE, SYNCED]);
+            loaded.disk = 0;
+            loaded.is_complete = false;
+            loaded.synced_epoch = 0;
+            loaded.has_gap = true;
+            loaded.journal.drop_records(vec![COMPLETE, SYNCED]);
         }
-        Ok(found)
+        Ok(loaded)
     }
 
-    fn read(folder: PathBuf, limit: u64, now: Instant) -> Result<(Found, bool), RoleError> {
+    fn read(folder: PathBuf, limit: u64, now: Instant) -> Result<(LoadedLog, bool), RoleError> {
         let (journal, loading) = Journal::start(folder, limit);
-        let mut found = Found {
+        let mut loaded = LoadedLog {
             journal,
             index: RecordIndex::default(),
             next: FIRST,
             disk: 0,
-            is_whole: false,
+            is_complete: false,
             synced_epoch: 0,
             epoch: 0,
-            has_lost: false,
+            has_gap: false,
         };
         let mut obsolete = Vec::new();
         for step in loading.iter() {
             match step {
-                Loading::Records(records) => {
+                LoadEvent::Records(records) => {
                     for (number, bytes) in records {
-                        obsolete.extend(found.take_in(now, number, &bytes));
+                        obsolete.extend(loaded.merge_records(now, number, &bytes));
                     }
                 }
-                Loading::Done { is_intact } => {
-                    found.journal.drop_records(obsolete);
-                    return Ok((found, is_intact));
+                LoadEvent::Done { is_intact } => {
+                    loaded.journal.drop_records(obsolete);
+                    return Ok((loaded, is_intact));
                 }
-                Loading::Failed(error) => return Err(unreadable(&error.to_string())),
+                LoadEvent::Failed(error) => return Err(unreadable(&error.to_string())),
             }
         }
         Err(unreadable("the thread that reads the log has ended"))
     }
 
     /// Takes a record in; returns one that need not be kept.
-    fn take_in(&mut self, now: Instant, number: RecordNumber, bytes: &[u8]) -> Option<RecordNumber> {
+    fn merge_records(&mut self, now: Instant, number: RecordNumber, bytes: &[u8]) -> Option<RecordNumber> {
         if number < EPOCH {
             self.next = self.next.max(number + 1);
         }
         match journal::read(bytes) {
-            Ok(Stored::Disk(id)) => self.disk = id,
-            Ok(Stored::Whole) => self.is_whole = true,
-            Ok(Stored::Synced(epoch)) => self.synced_epoch = epoch,
-            Ok(Stored::Epoch(epoch)) => self.epoch = epoch,
-            Ok(Stored::Record { record, written_ms }) => {
+            Ok(LogEntry::Disk(id)) => self.disk = id,
+            Ok(LogEntry::Complete) => self.is_complete = true,
+            Ok(LogEntry::Synced(epoch)) => self.synced_epoch = epoch,
+            Ok(LogEntry::Epoch(epoch)) => self.epoch = epoch,
+            Ok(LogEntry::Record { record, written_ms }) => {
                 let age = Duration::from_millis(wall_clock_ms().saturating_sub(written_ms));
                 return self.index.merge(now, age, &record, number).obsolete;
             }
@@ -116,12 +116,12 @@
             return;
         }
         self.disk = random_id();
-        self.is_whole = is_first_start && !self.has_lost;
-        let mut records = vec![(DISK, Stored::Disk(self.disk))];
-        if self.is_whole {
-            records.push((WHOLE, Stored::Whole));
+        self.is_complete = is_first_start && !self.has_gap;
+        let mut records = vec![(DISK, LogEntry::Disk(self.disk))];
+        if self.is_complete {
+            records.push((COMPLETE, LogEntry::Complete));
         }
-        if self.journal.append(records).await && self.has_lost {
+        if self.journal.append(records).await && self.has_gap {
             self.journal.accept_loss();
         }
     }
--- a/crates/onyxstile-system/src/role/storage/repair.rs
+++ b/crates/onyxstile-system/src/role/storage/repair.rs
@@ -5,35 +5,35 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::Node;
-use super::journal::Stored;
-use super::opening::{EPOCH, SYNCED, WHOLE};
+use super::StorageServer;
+use super::journal::LogEntry;
+use super::recovery::{COMPLETE, EPOCH, SYNCED};
 use crate::program::{CopiedChanges, Key, Source};
 use crate::storage_plan::StoragePlan;
 use crate::wire::{Request, Response};
 
 /// How long another machine may hold a question without changes.
-const WAIT: Duration = Duration::from_millis(500);
+const POLL_WAIT: Duration = Duration::from_millis(500);
 /// Time beyond the wait that another machine has to answer.
-const PATIENCE: Duration = Duration::from_millis(700);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause after a question that failed or found a machine that isn't as far.
-const PAUSE: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Keys asked for at once.
-const KEYS_A_FETCH: usize = 256;
+const KEYS_PER_FETCH: usize = 256;
 
-impl Node {
+impl StorageServer {
     /// Goes by a newer storage plan. Its epoch is on the disk first: whoever copies from here by this plan relies on nothing
     /// being written here by an older one any more, whatever restarts in between.
-    pub(super) async fn take_plan(self: Rc<Node>, plan: Rc<StoragePlan>) {
+    pub(super) async fn apply_plan(self: Rc<StorageServer>, plan: Rc<StoragePlan>) {
         let before = self.plan.borrow().clone();
         if plan.epoch <= before.epoch {
             return;
         }
         while self.epoch.get() < plan.epoch {
-            if self.journal.append(vec![(EPOCH, Stored::Epoch(plan.epoch))]).await {
+            if self.journal.append(vec![(EPOCH, LogEntry::Epoch(plan.epoch))]).await {
                 self.epoch.set(plan.epoch);
             } else {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
         *self.plan.borrow_mut() = plan.clone();
@@ -45,17 +45,17 @@
         self.review();
     }
 
-    async fn copy_from(self: Rc<Node>, ip: Ipv4Addr) {
+    async fn copy_from(self: Rc<StorageServer>, ip: Ipv4Addr) {
         while self.repair.borrow().is_member(ip) {
             let source = self.repair.borrow().source(ip);
             let is_copied = self.repair.borrow().is_copied(ip, self.plan.borrow().epoch);
-            let wait = if is_copied { WAIT } else { Duration::ZERO };
+            let wait = if is_copied { POLL_WAIT } else { Duration::ZERO };
             let request = Request::Changes {
                 origin: source.origin,
                 counter: source.counter,
                 wait_ms: wait.as_millis() as u64,
             };
-            let result = self.client.call(self.peer(ip), &request, wait + PATIENCE).await;
+            let result = self.client.call(self.peer(ip), &request, wait + RESPONSE_TIMEOUT).await;
             if let Ok(response) = result {
                 self.copy(ip, source, response).await;
             }
@@ -63,7 +63,7 @@
             let has_more = self.repair.borrow().source(ip).counter > source.counter;
             let is_copied = self.repair.borrow().is_copied(ip, self.plan.borrow().epoch);
             if !is_copied && !has_more {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
         self.repair.borrow_mut().forget(ip);
@@ -87,23 +87,23 @@
     async fn fetch_missing(&self, ip: Ipv4Addr, keys: Vec<(Key, u8)>) -> bool {
         let missing: Vec<Key> = keys
             .into_iter()
-            .filter(|(key, version)| self.is_mine(key) && !self.index.borrow().holds(key, *version))
+            .filter(|(key, version)| self.is_assigned(key) && !self.index.borrow().holds(key, *version))
             .map(|(key, _)| key)
             .collect();
-        for keys in missing.chunks(KEYS_A_FETCH) {
+        for keys in missing.chunks(KEYS_PER_FETCH) {
             let mut keys = keys.to_vec();
             while !keys.is_empty() {
                 let request = Request::Fetch(keys.clone());
-                let result = self.client.call(self.peer(ip), &request, PATIENCE * 3).await;
+                let result = self.client.call(self.peer(ip), &request, RESPONSE_TIMEOUT * 3).await;
                 let Ok(Response::Records(records)) = result else { return false };
                 if records.is_empty() {
                     break;
                 }
-                let got: Vec<Key> = records.iter().map(|record| record.key()).collect();
+                let received: Vec<Key> = records.iter().map(|record| record.key()).collect();
                 if !self.write(records).await {
                     return false;
                 }
-                keys.retain(|key| !got.contains(key));
+                keys.retain(|key| !received.contains(key));
             }
         }
         true
@@ -112,22 +112,22 @@
     /// Looks whether enough has been copied to say so.
     fn review(&self) {
         let plan = self.plan.borrow().clone();
-        let was_whole = self.is_whole.get();
+        let was_complete = self.is_complete.get();
         let assessment = self.repair.borrow().assess(
             self.clock.now(),
             (self.own(), self.disk),
             &plan,
-            was_whole,
+            was_complete,
             self.tolerance(),
         );
-        if assessment.is_complete && !was_whole {
-            self.is_whole.set(true);
+        if assessment.is_complete && !was_complete {
+            self.is_complete.set(true);
             log::info!("copied what this machine should hold by epoch {}", plan.epoch);
-            self.journal.append_later(WHOLE, &Stored::Whole);
+            self.journal.append_later(COMPLETE, &LogEntry::Complete);
         }
         if assessment.is_synced && self.synced_epoch.get() < plan.epoch {
             self.synced_epoch.set(plan.epoch);
-            self.journal.append_later(SYNCED, &Stored::Synced(plan.epoch));
+            self.journal.append_later(SYNCED, &LogEntry::Synced(plan.epoch));
         }
     }
 }
--- a/crates/onyxstile-system/src/role/storage/answers.rs
+++ b/crates/onyxstile-system/src/role/storage/requests.rs
@@ -3,34 +3,38 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::Node;
+use super::StorageServer;
 use super::records::Lookup;
 use crate::program::{ClaimEntry, Record};
-use crate::role::rpc::Answer;
+use crate::role::rpc::ResponseFuture;
 use crate::wire::{Request, Response};
 
 /// Keys in one answer to a question for changes.
-const KEYS_AN_ANSWER: usize = 2048;
+const KEYS_PER_RESPONSE: usize = 2048;
 /// Bytes of records in one answer; at least one record is always sent.
-const RECORD_BYTES_AN_ANSWER: usize = 4 * 1024 * 1024;
+const RECORD_BYTES_PER_RESPONSE: usize = 4 * 1024 * 1024;
 /// The longest that an answer waits for changes.
 const WAIT_MAX: Duration = Duration::from_secs(5);
 
-impl Node {
+impl StorageServer {
     /// Answers one request of another machine.
-    pub(super) fn answer(self: Rc<Node>, request: Request) -> Answer {
+    pub(super) fn answer(self: Rc<StorageServer>, request: Request) -> ResponseFuture {
         match request {
             Request::Reserve { epoch, program, entry, wants_all } => {
                 Box::pin(async move { self.reserve(epoch, program, entry, wants_all).await })
             }
-            Request::Write { epoch, records } => Box::pin(async move { self.write_by(epoch, records).await }),
+            Request::Write { epoch, records } => {
+                Box::pin(async move { self.write_for_epoch(epoch, records).await })
+            }
             Request::GetTurns { epoch, ids } => Box::pin(async move { self.get_turns(epoch, &ids).await }),
             Request::Changes { origin, counter, wait_ms } => {
                 let wait = Duration::from_millis(wait_ms).min(WAIT_MAX);
                 Box::pin(async move { self.changes(origin, counter, wait).await })
             }
             Request::Fetch(keys) => {
-                Box::pin(async move { Response::Records(self.records(&keys, RECORD_BYTES_AN_ANSWER).await) })
+                Box::pin(
+                    async move { Response::Records(self.records(&keys, RECORD_BYTES_PER_RESPONSE).await) },
+                )
             }
             Request::Status => Box::pin(std::future::ready(Response::Status(self.status()))),
             _ => Box::pin(std::future::ready(Response::Refused)),
@@ -45,7 +49,7 @@
 
     /// Writes records for a sender that goes by `epoch`. A plan that came while the disk was written counts: whoever copied
     /// by the newer plan may have asked before the records were there.
-    async fn write_by(&self, epoch: u64, records: Vec<Record>) -> Response {
+    async fn write_for_epoch(&self, epoch: u64, records: Vec<Record>) -> Response {
         if let Some(stale) = self.stale(epoch) {
             return stale;
         }
@@ -57,7 +61,7 @@
 
     async fn get_turns(&self, epoch: u64, ids: &[String]) -> Response {
         // By an older plan the turn may be looked for where it was never written.
-        let is_conclusive = self.is_whole.get() && epoch >= self.epoch.get();
+        let is_conclusive = self.is_complete.get() && epoch >= self.epoch.get();
         let found = self.turns(ids).await;
         let is_read = !found.iter().any(|lookup| matches!(lookup, Lookup::Unreadable));
         let turns = found.into_iter().map(Lookup::turn).collect();
@@ -68,11 +72,11 @@
         if let Some(stale) = self.stale(epoch) {
             return stale;
         }
-        if !self.is_whole.get() {
+        if !self.is_complete.get() {
             return Response::Refused;
         }
         let record = Record::ClaimEntry { program: program.clone(), entry };
-        match self.write_by(epoch, vec![record]).await {
+        match self.write_for_epoch(epoch, vec![record]).await {
             Response::Done => {}
             other => return other,
         }
@@ -97,14 +101,14 @@
             }
         }
         let index = self.index.borrow();
-        let (keys, last) = index.changed_since(after, KEYS_AN_ANSWER);
-        let is_last = keys.len() < KEYS_AN_ANSWER;
+        let (keys, last) = index.changed_since(after, KEYS_PER_RESPONSE);
+        let is_last = keys.len() < KEYS_PER_RESPONSE;
         Response::Changes {
             origin: self.origin,
             counter: if is_last { index.counter() } else { last },
             is_last,
             epoch: self.plan.borrow().epoch,
-            is_complete: self.is_whole.get(),
+            is_complete: self.is_complete.get(),
             synced_epoch: self.synced_epoch.get(),
             keys,
         }
@@ -117,7 +121,7 @@
             format!("turns {turns} programs {programs} index bytes {}", self.index.borrow().memory_bytes()),
             format!(
                 "whole {} epoch {} synced {}",
-                self.is_whole.get(),
+                self.is_complete.get(),
                 self.plan.borrow().epoch,
                 self.synced_epoch.get()
             ),
--- a/crates/onyxstile-system/src/role/subscription.rs
+++ b/crates/onyxstile-system/src/role/subscription.rs
@@ -21,20 +21,20 @@
 use state::State;
 
 /// Time beyond the wait that a controller has to answer.
-const PATIENCE: Duration = Duration::from_millis(700);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause after a poll that failed, or that a controller answered which is not sure of what it holds.
-const PAUSE: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// The same as long as no majority has been heard: then all controllers may be about to return.
-const PAUSE_ALONE: Duration = Duration::from_millis(40);
+const RETRY_DELAY_WITHOUT_MAJORITY: Duration = Duration::from_millis(40);
 /// How often the set of controllers is looked at.
-const REVIEW: Duration = Duration::from_millis(100);
+const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
 /// Whoever has heard no majority by then goes on with what it has: control is away for everyone.
-const ALONE_AFTER: Duration = Duration::from_secs(5);
+const FRESH_WITHOUT_MAJORITY_AFTER: Duration = Duration::from_secs(5);
 
 /// What the subscriber wants and tells.
-pub struct Wishes {
+pub struct SubscriptionOptions {
     /// For a relay, which wants endpoints: what its calls show of those under suspicion.
-    pub relay: Option<Rc<RefCell<Vec<Evidence>>>>,
+    pub relay_evidence: Option<Rc<RefCell<Vec<Evidence>>>>,
     /// How long a poll may wait for news.
     pub wait: Duration,
     /// The storage epoch for which it holds all that is its own; 0 elsewhere.
@@ -44,18 +44,18 @@
 struct Subscription {
     settings: Rc<RefCell<Settings>>,
     client: Client,
-    wishes: Wishes,
-    news: mpsc::UnboundedSender<FeedUpdate>,
+    options: SubscriptionOptions,
+    updates: mpsc::UnboundedSender<FeedUpdate>,
     state: RefCell<State>,
 }
 
 /// Begins to follow the controllers.
 pub fn follow(
-    settings: Rc<RefCell<Settings>>, client: Client, wishes: Wishes,
+    settings: Rc<RefCell<Settings>>, client: Client, options: SubscriptionOptions,
 ) -> mpsc::UnboundedReceiver<FeedUpdate> {
-    let (news, receiver) = mpsc::unbounded_channel();
+    let (updates, receiver) = mpsc::unbounded_channel();
     let state = RefCell::default();
-    let subscription = Rc::new(Subscription { settings, client, wishes, news, state });
+    let subscription = Rc::new(Subscription { settings, client, options, updates, state });
     tokio::task::spawn_local(subscription.review());
     receiver
 }
@@ -65,27 +65,27 @@
         let started = tokio::time::Instant::now();
         loop {
             self.poll_all();
-            if started.elapsed() >= ALONE_AFTER {
+            if started.elapsed() >= FRESH_WITHOUT_MAJORITY_AFTER {
                 self.declare_fresh();
             }
-            tokio::time::sleep(REVIEW).await;
+            tokio::time::sleep(REVIEW_INTERVAL).await;
         }
     }
 
     /// Begins to poll controllers that are not polled yet.
     fn poll_all(self: &Rc<Subscription>) {
-        self.begin(self.controllers());
+        self.start_polling(self.controllers());
     }
 
     /// The same for as many as have to be heard, and one more: after a loss of power all machines ask at once, and what comes
     /// first counts.
     fn poll_first(self: &Rc<Subscription>) {
         let own = self.settings.borrow().ip;
-        let first = self.state.borrow().first_to_ask(own);
-        self.begin(first);
+        let first = self.state.borrow().first_to_poll(own);
+        self.start_polling(first);
     }
 
-    fn begin(self: &Rc<Subscription>, controllers: Vec<Ipv4Addr>) {
+    fn start_polling(self: &Rc<Subscription>, controllers: Vec<Ipv4Addr>) {
         for controller in controllers {
             let is_new = self.state.borrow_mut().polled.insert(controller);
             if is_new {
@@ -99,11 +99,11 @@
         let settings = self.settings.borrow();
         let seeds = settings.seed_addresses();
         if state.electors.is_empty() {
-            return state.seed_to_ask(settings.ip, &seeds).into_iter().collect();
+            return state.seed_to_poll(settings.ip, &seeds).into_iter().collect();
         }
         let mut controllers = state.electors.clone();
         // Seeds lag; they are asked while too few electors answer.
-        if !state.hears_majority() {
+        if !state.has_settled_majority() {
             controllers.extend(seeds);
         }
         controllers.sort_unstable();
@@ -114,20 +114,21 @@
     async fn poll(self: Rc<Subscription>, controller: Ipv4Addr) {
         while self.controllers().contains(&controller) {
             let to = SocketAddrV4::new(controller, self.settings.borrow().peer_port());
-            let pull = self.question(controller);
-            let patience = Duration::from_millis(pull.wait_ms) + self.patience(pull.wants_state);
-            match self.client.call(to, &Request::Pull(pull), patience).await {
+            let pull = self.next_request(controller);
+            let response_timeout =
+                Duration::from_millis(pull.wait_ms) + self.response_timeout(pull.wants_state);
+            match self.client.call(to, &Request::Pull(pull), response_timeout).await {
                 Ok(Response::Pull(pulled)) => {
                     self.state.borrow_mut().answering.insert(controller);
-                    self.absorb(controller, pulled);
+                    self.apply_response(controller, pulled);
                 }
                 Ok(_) | Err(_) => self.state.borrow_mut().missed(controller),
             }
-            self.state.borrow_mut().asked_seed();
+            self.state.borrow_mut().note_seed_polled();
             // One that is not sure of what it holds may answer at once.
-            let is_heard = self.state.borrow().heard.contains(&controller);
-            if !is_heard {
-                self.pause().await;
+            let has_settled = self.state.borrow().settled.contains(&controller);
+            if !has_settled {
+                self.delay_retry().await;
             }
         }
         self.state.borrow_mut().stopped(controller);
@@ -137,13 +138,14 @@
         }
     }
 
-    async fn pause(&self) {
-        let hears_majority = self.state.borrow().hears_majority();
-        tokio::time::sleep(if hears_majority { PAUSE } else { PAUSE_ALONE }).await;
+    async fn delay_retry(&self) {
+        let has_settled_majority = self.state.borrow().has_settled_majority();
+        tokio::time::sleep(if has_settled_majority { RETRY_DELAY } else { RETRY_DELAY_WITHOUT_MAJORITY })
+            .await;
     }
 
     /// The next poll of a controller. The first one is answered at once, and tells who the others are.
-    fn question(&self, controller: Ipv4Addr) -> PullRequest {
+    fn next_request(&self, controller: Ipv4Addr) -> PullRequest {
         let settings = self.settings.borrow();
         let state = self.state.borrow();
         let may_wait = state.answering.contains(&controller);
@@ -152,46 +154,46 @@
         PullRequest {
             ip: settings.ip.octets(),
             name: settings.node_name.clone(),
-            sequence: if wants_state { state.sequence } else { state.sequence.max(state.told) },
+            sequence: if wants_state { state.sequence } else { state.sequence.max(state.newest_sequence) },
             revision: state.revision,
             wants_state,
-            wants_endpoints: self.wishes.relay.is_some(),
+            wants_endpoints: self.options.relay_evidence.is_some(),
             origin,
             counter,
-            is_counted: state.heard.contains(&controller),
-            wait_ms: if may_wait { self.wishes.wait.as_millis() as u64 } else { 0 },
-            synced_epoch: self.wishes.synced_epoch.get(),
+            is_counted: state.settled.contains(&controller),
+            wait_ms: if may_wait { self.options.wait.as_millis() as u64 } else { 0 },
+            synced_epoch: self.options.synced_epoch.get(),
             evidence: self.evidence_for(&state, controller),
         }
     }
 
     /// One controller sums up what relays show, the first in an agreed order: that of addresses, among those heard.
     fn evidence_for(&self, state: &State, controller: Ipv4Addr) -> Option<Vec<Evidence>> {
-        let own = self.wishes.relay.as_ref()?;
-        let is_first = state.heard.iter().min() == Some(&controller);
+        let own = self.options.relay_evidence.as_ref()?;
+        let is_first = state.settled.iter().min() == Some(&controller);
         is_first.then(|| own.borrow().clone())
     }
 
-    fn absorb(self: &Rc<Subscription>, controller: Ipv4Addr, pulled: PullResponse) {
+    fn apply_response(self: &Rc<Subscription>, controller: Ipv4Addr, pulled: PullResponse) {
         let mut state = self.state.borrow_mut();
         if pulled.view > state.view {
             state.view = pulled.view;
             state.electors = pulled.electors.iter().map(|ip| Ipv4Addr::from(*ip)).collect();
         }
         if pulled.is_settled && pulled.view > 0 {
-            state.heard.insert(controller);
+            state.settled.insert(controller);
         }
-        state.told = state.told.max(pulled.sequence);
-        if let Some(count) = pulled.relays.filter(|_| self.wishes.relay.is_some()) {
-            self.absorb_relays(&mut state, controller, count);
+        state.newest_sequence = state.newest_sequence.max(pulled.sequence);
+        if let Some(count) = pulled.relays.filter(|_| self.options.relay_evidence.is_some()) {
+            self.apply_relay_count(&mut state, controller, count);
         }
         if !pulled.endpoints.is_empty() {
-            self.tell(FeedUpdate::Endpoints(pulled.endpoints));
+            self.send_update(FeedUpdate::Endpoints(pulled.endpoints));
         }
         if !pulled.evidence.is_empty() {
-            self.tell(FeedUpdate::Evidence(pulled.evidence));
+            self.send_update(FeedUpdate::Evidence(pulled.evidence));
         }
-        if self.wishes.relay.is_some() {
+        if self.options.relay_evidence.is_some() {
             state.registries.insert(controller, (pulled.origin, pulled.counter));
         }
         if let Some(published) = pulled.state.filter(|published| published.sequence > state.sequence) {
@@ -200,10 +202,10 @@
             if let Some(configuration) = &published.configuration {
                 state.revision = configuration.revision;
             }
-            self.tell(FeedUpdate::State(published));
+            self.send_update(FeedUpdate::State(published));
         }
         let is_behind = state.is_behind();
-        let is_complete = state.hears_majority() && !is_behind;
+        let is_complete = state.has_settled_majority() && !is_behind;
         drop(state);
         if is_complete {
             self.declare_fresh();
@@ -214,12 +216,12 @@
         self.poll_first();
     }
 
-    fn absorb_relays(&self, state: &mut State, controller: Ipv4Addr, count: u32) {
+    fn apply_relay_count(&self, state: &mut State, controller: Ipv4Addr, count: u32) {
         let before = state.most_relays();
         state.relays.insert(controller, count);
         let after = state.most_relays();
         if let Some(most) = after.filter(|_| after != before) {
-            self.tell(FeedUpdate::Relays(most));
+            self.send_update(FeedUpdate::Relays(most));
         }
     }
 
@@ -228,12 +230,12 @@
         if !state.is_fresh {
             state.is_fresh = true;
             drop(state);
-            self.tell(FeedUpdate::Fresh);
+            self.send_update(FeedUpdate::Fresh);
         }
     }
 
-    fn tell(&self, news: FeedUpdate) {
-        if self.news.send(news).is_err() {
+    fn send_update(&self, update: FeedUpdate) {
+        if self.updates.send(update).is_err() {
             log::error!("nobody takes news any more");
         }
     }
--- a/crates/onyxstile-system/src/role/subscription/fetch.rs
+++ b/crates/onyxstile-system/src/role/subscription/fetch.rs
@@ -4,22 +4,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::{PATIENCE, Subscription};
+use super::{RESPONSE_TIMEOUT, Subscription};
 use crate::wire::{PullRequest, Request, Response};
 
 /// After the news of a newer state its own source has this long to send it; then another is asked.
-const OWN_SOURCE_FIRST: Duration = Duration::from_millis(100);
+const OWN_SOURCE_DELAY: Duration = Duration::from_millis(100);
 /// The most doublings of the time in which a state has to come: 8 MB over a slow link take seconds.
 const DOUBLINGS_MAX: u32 = 4;
 
 impl Subscription {
     /// How long an answer may take beyond the wait; one with the state takes longer, and longer again where it was late.
-    pub(super) fn patience(&self, wants_state: bool) -> Duration {
+    pub(super) fn response_timeout(&self, wants_state: bool) -> Duration {
         if !wants_state {
-            return PATIENCE;
+            return RESPONSE_TIMEOUT;
         }
         let late = self.state.borrow().late_states.min(DOUBLINGS_MAX);
-        PATIENCE * 2 * (1 << late)
+        RESPONSE_TIMEOUT * 2 * (1 << late)
     }
 
     /// Has the newest state fetched from another controller if it does not come soon.
@@ -32,7 +32,7 @@
 
     async fn fetch_until_newest(self: Rc<Subscription>) {
         loop {
-            tokio::time::sleep(OWN_SOURCE_FIRST).await;
+            tokio::time::sleep(OWN_SOURCE_DELAY).await;
             if !self.state.borrow().is_behind() {
                 break;
             }
@@ -47,10 +47,14 @@
 
     async fn fetch_from(self: &Rc<Subscription>, source: Ipv4Addr) {
         let to = SocketAddrV4::new(source, self.settings.borrow().peer_port());
-        let pull =
-            PullRequest { wants_state: true, wait_ms: 0, sequence: self.sequence(), ..self.question(source) };
-        match self.client.call(to, &Request::Pull(pull), self.patience(true)).await {
-            Ok(Response::Pull(pulled)) => self.absorb(source, pulled),
+        let pull = PullRequest {
+            wants_state: true,
+            wait_ms: 0,
+            sequence: self.sequence(),
+            ..self.next_request(source)
+        };
+        match self.client.call(to, &Request::Pull(pull), self.response_timeout(true)).await {
+            Ok(Response::Pull(pulled)) => self.apply_response(source, pulled),
             _ => self.state.borrow_mut().missed(source),
         }
         // Next time another is asked, and given longer.
--- a/crates/onyxstile-system/src/role/watched.rs
+++ b/crates/onyxstile-system/src/role/watched_stream.rs
@@ -13,79 +13,81 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep};
 
-use super::linger::Linger;
+use super::lingering_close::LingeringClose;
 use crate::clock::SteadyClock;
 use crate::connection_watchdog::{ConnectionTimeouts, ConnectionWatchdog, Overdue};
 
 /// How often a connection on which a request is answered is looked at.
-const LOOK: Duration = Duration::from_secs(5);
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The connection.
-pub struct Watched {
+pub struct WatchedStream {
     stream: TcpStream,
     peer: Option<SocketAddr>,
-    state: State,
+    handle: WatchHandle,
     sleep: Pin<Box<Sleep>>,
-    linger: Option<Linger>,
+    linger: Option<LingeringClose>,
 }
 
 /// The watch over a connection, for whoever answers its requests.
 #[derive(Clone)]
-pub struct State {
+pub struct WatchHandle {
     clock: SteadyClock,
-    watch: Rc<RefCell<ConnectionWatchdog>>,
+    watchdog: Rc<RefCell<ConnectionWatchdog>>,
     /// Bytes of an answer wait for the client to read.
-    is_blocked: Rc<Cell<bool>>,
+    has_unsent_bytes: Rc<Cell<bool>>,
 }
 
 /// A request that is being answered, for as long as this lives.
-pub struct Answering {
-    state: State,
+pub struct RequestGuard {
+    handle: WatchHandle,
 }
 
-impl State {
+impl WatchHandle {
     /// A request's head has ended.
-    pub fn request(&self) -> Answering {
-        self.watch.borrow_mut().request(self.clock.now());
-        Answering { state: self.clone() }
+    pub fn request(&self) -> RequestGuard {
+        self.watchdog.borrow_mut().request(self.clock.now());
+        RequestGuard { handle: self.clone() }
     }
 
     /// Whether nothing is due on the connection: no answer is made, none leaves, and no head has begun.
     pub fn is_idle(&self) -> bool {
-        self.watch.borrow().is_idle() && !self.is_blocked.get()
+        self.watchdog.borrow().is_idle() && !self.has_unsent_bytes.get()
     }
 }
 
-impl Drop for Answering {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.state.watch.borrow_mut().answered(self.state.clock.now());
+        self.handle.watchdog.borrow_mut().answered(self.handle.clock.now());
     }
 }
 
-impl Watched {
+impl WatchedStream {
     /// Begins to watch a connection that has just come.
-    pub fn new(stream: TcpStream, clock: SteadyClock, bounds: ConnectionTimeouts) -> (Watched, State) {
-        let watch = Rc::new(RefCell::new(ConnectionWatchdog::new(clock.now(), bounds)));
-        let state = State { clock, watch, is_blocked: Rc::default() };
+    pub fn new(
+        stream: TcpStream, clock: SteadyClock, timeouts: ConnectionTimeouts,
+    ) -> (WatchedStream, WatchHandle) {
+        let watchdog = Rc::new(RefCell::new(ConnectionWatchdog::new(clock.now(), timeouts)));
+        let handle = WatchHandle { clock, watchdog, has_unsent_bytes: Rc::default() };
         let peer = stream.peer_addr().ok();
-        let sleep = Box::pin(tokio::time::sleep(bounds.idle));
-        (Watched { stream, peer, state: state.clone(), sleep, linger: None }, state)
+        let sleep = Box::pin(tokio::time::sleep(timeouts.idle));
+        (WatchedStream { stream, peer, handle: handle.clone(), sleep, linger: None }, handle)
     }
 
     /// Ready once the connection is overdue. It reads as ended by the client then, so that its close is one in order.
     fn poll_overdue(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         loop {
-            let left = match self.state.watch.borrow().deadline() {
-                Some((ends, why)) => {
-                    let left = ends.since(self.state.clock.now());
+            let left = match self.handle.watchdog.borrow().deadline() {
+                Some((deadline, why)) => {
+                    let left = deadline.since(self.handle.clock.now());
                     if left.is_zero() {
-                        self.tell(why);
+                        self.log_overdue(why);
                         return Poll::Ready(Ok(()));
                     }
                     left
                 }
                 // The answer's end wakes nobody here: it is looked for now and then.
-                None => LOOK,
+                None => CHECK_INTERVAL,
             };
             self.sleep.as_mut().reset(Instant::now() + left);
             if self.sleep.as_mut().poll(cx).is_pending() {
@@ -94,7 +96,7 @@
         }
     }
 
-    fn tell(&self, why: Overdue) {
+    fn log_overdue(&self, why: Overdue) {
         match why {
             Overdue::Head => log::info!("client {}: the head of a request did not end in time", self.peer()),
             Overdue::Idle => log::debug!("client {}: the connection has rested too long", self.peer()),
@@ -107,23 +109,23 @@
     }
 
     /// Notes how many of some bytes of an answer have left.
-    fn note_sent(&self, sent: &Poll<io::Result<usize>>, length: usize) {
-        let mut watch = self.state.watch.borrow_mut();
+    fn record_sent(&self, sent: &Poll<io::Result<usize>>, length: usize) {
+        let mut watchdog = self.handle.watchdog.borrow_mut();
         // Events of a stream leave all the time; while it lasts nothing is timed.
-        if matches!(sent, Poll::Ready(Ok(1..))) && watch.deadline().is_some() {
-            watch.sent(self.state.clock.now());
+        if matches!(sent, Poll::Ready(Ok(1..))) && watchdog.deadline().is_some() {
+            watchdog.sent(self.handle.clock.now());
         }
         // What did not leave at once is written again; the last of it leaves whole.
-        let is_blocked = match sent {
+        let has_unsent_bytes = match sent {
             Poll::Ready(Ok(count)) => *count < length,
             Poll::Ready(Err(_)) => false,
             Poll::Pending => true,
         };
-        self.state.is_blocked.set(is_blocked);
+        self.handle.has_unsent_bytes.set(has_unsent_bytes);
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for WatchedStream {
     fn poll_read(
         self: Pin<&mut Self>, cx: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
@@ -133,7 +135,7 @@
             Poll::Pending => this.poll_overdue(cx),
             ready => {
                 if buffer.filled().len() > before {
-                    this.state.watch.borrow_mut().bytes(this.state.clock.now());
+                    this.handle.watchdog.borrow_mut().bytes(this.handle.clock.now());
                 }
                 ready
             }
@@ -141,11 +143,11 @@
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for WatchedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let sent = Pin::new(&mut this.stream).poll_write(cx, bytes);
-        this.note_sent(&sent, bytes.len());
+        this.record_sent(&sent, bytes.len());
         sent
     }
 
@@ -154,7 +156,7 @@
     ) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         let sent = Pin::new(&mut this.stream).poll_write_vectored(cx, slices);
-        this.note_sent(&sent, slices.iter().map(|slice| slice.len()).sum());
+        this.record_sent(&sent, slices.iter().map(|slice| slice.len()).sum());
         sent
     }
 
@@ -171,13 +173,13 @@
         let this = self.get_mut();
         if this.linger.is_none() {
             ready!(Pin::new(&mut this.stream).poll_shutdown(cx))?;
-            this.linger = Some(Linger::begin(this.sleep.as_mut()));
+            this.linger = Some(LingeringClose::begin(this.sleep.as_mut()));
         }
         let Some(linger) = &mut this.linger else { return Poll::Ready(Ok(())) };
         ready!(linger.poll(&mut this.stream, this.sleep.as_mut(), cx));
-        let dropped = linger.dropped();
-        if dropped > 0 {
-            log::info!("client {}: {dropped} bytes came behind the last answer", this.peer());
+        let discarded = linger.discarded();
+        if discarded > 0 {
+            log::info!("client {}: {discarded} bytes came behind the last answer", this.peer());
         }
         Poll::Ready(Ok(()))
     }
--- a/crates/onyxstile-system/tests/rpc.rs
+++ b/crates/onyxstile-system/tests/rpc.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use onyxstile_system::role::rpc::Client;
-use onyxstile_system::role::socket::connect_to_sleeper;
+use onyxstile_system::role::socket::connect_with_retries;
 use onyxstile_system::wire::Request;
 use socket2::{Domain, Socket, Type};
 
@@ -64,7 +64,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let began = Instant::now();
-        let mut connecting = Box::pin(connect_to_sleeper(address, Duration::from_secs(5)));
+        let mut connecting = Box::pin(connect_with_retries(address, Duration::from_secs(5)));
         assert!(
             tokio::time::timeout(Duration::from_millis(60), &mut connecting).await.is_err(),
             "it says nothing"
--- a/crates/onyxstile-system/tests/subscription.rs
+++ b/crates/onyxstile-system/tests/subscription.rs
@@ -10,7 +10,7 @@
 use onyxstile_system::control::StoredConfiguration;
 use onyxstile_system::feed_state::FeedUpdate;
 use onyxstile_system::role::rpc::{self, Client};
-use onyxstile_system::role::subscription::{self, Wishes};
+use onyxstile_system::role::subscription::{self, SubscriptionOptions};
 use onyxstile_system::settings::Settings;
 use onyxstile_system::wire::{PublishedState, PullRequest, PullResponse, Request, Response};
 use tokio::net::TcpListener;
@@ -60,7 +60,7 @@
         let controller = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
         let (polls, enough) = (Rc::new(Cell::new(0)), Rc::new(Notify::new()));
         let (counted, reached) = (polls.clone(), enough.clone());
-        let handler = Rc::new(move |request: Request| -> rpc::Answer {
+        let handler = Rc::new(move |request: Request| -> rpc::ResponseFuture {
             assert!(matches!(request, Request::Pull(_)));
             counted.set(counted.get() + 1);
             if counted.get() == POLLS {
@@ -70,9 +70,13 @@
         });
         tokio::task::spawn_local(rpc::serve(listener, handler));
         let settings = Rc::new(RefCell::new(settings(controller)));
-        let wishes = Wishes { relay: None, wait: Duration::from_millis(400), synced_epoch: Rc::default() };
+        let options = SubscriptionOptions {
+            relay_evidence: None,
+            wait: Duration::from_millis(400),
+            synced_epoch: Rc::default(),
+        };
         let began = Instant::now();
-        let _news = subscription::follow(settings, Client::default(), wishes);
+        let _updates = subscription::follow(settings, Client::default(), options);
         enough.notified().await;
         assert!(began.elapsed() >= MIN_DURATION, "{POLLS} polls in {:?}", began.elapsed());
     });
@@ -103,7 +107,7 @@
         }
         for (index, listener) in listeners.into_iter().enumerate() {
             let (sent, electors) = (sent.clone(), addresses.clone());
-            let handler = Rc::new(move |request: Request| -> rpc::Answer {
+            let handler = Rc::new(move |request: Request| -> rpc::ResponseFuture {
                 let Request::Pull(pull) = request else { panic!("{request:?}") };
                 let state = (pull.wants_state && pull.sequence < SEQUENCE && sends(index)).then(published);
                 sent.borrow_mut()[index] += u32::from(state.is_some());
@@ -125,11 +129,15 @@
     async fn follow(&self, own: Ipv4Addr) {
         let seed = SocketAddrV4::new(self.addresses[0], self.port);
         let settings = Rc::new(RefCell::new(settings_at(own, seed)));
-        let wishes = Wishes { relay: None, wait: Duration::from_millis(1000), synced_epoch: Rc::default() };
-        let mut news = subscription::follow(settings, Client::default(), wishes);
+        let options = SubscriptionOptions {
+            relay_evidence: None,
+            wait: Duration::from_millis(1000),
+            synced_epoch: Rc::default(),
+        };
+        let mut updates = subscription::follow(settings, Client::default(), options);
         let mut held = 0;
         loop {
-            match news.recv().await.expect("news") {
+            match updates.recv().await.expect("news") {
                 FeedUpdate::State(published) => held = published.sequence,
                 FeedUpdate::Fresh => break,
                 _ => {}
@@ -184,19 +192,23 @@
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
         let port = listener.local_addr().expect("its address").port();
         let first: Rc<RefCell<Option<PullRequest>>> = Rc::default();
-        let (kept, asked) = (first.clone(), Rc::new(Notify::new()));
-        let noted = asked.clone();
-        let handler = Rc::new(move |request: Request| -> rpc::Answer {
+        let (stored, polled) = (first.clone(), Rc::new(Notify::new()));
+        let notify = polled.clone();
+        let handler = Rc::new(move |request: Request| -> rpc::ResponseFuture {
             let Request::Pull(pull) = request else { panic!("{request:?}") };
-            kept.borrow_mut().get_or_insert(pull);
-            noted.notify_one();
+            stored.borrow_mut().get_or_insert(pull);
+            notify.notify_one();
             Box::pin(std::future::ready(Response::Pull(unsettled(Ipv4Addr::LOCALHOST))))
         });
         tokio::task::spawn_local(rpc::serve(listener, handler));
         let settings = Rc::new(RefCell::new(settings(SocketAddrV4::new(Ipv4Addr::LOCALHOST, port))));
-        let wishes = Wishes { relay: None, wait: Duration::from_millis(400), synced_epoch: Rc::default() };
-        let _news = subscription::follow(settings, Client::default(), wishes);
-        asked.notified().await;
+        let options = SubscriptionOptions {
+            relay_evidence: None,
+            wait: Duration::from_millis(400),
+            synced_epoch: Rc::default(),
+        };
+        let _updates = subscription::follow(settings, Client::default(), options);
+        polled.notified().await;
         let pull = first.borrow().clone().expect("a poll");
         assert!(!pull.wants_state && pull.wait_ms == 0, "{pull:?}");
     });
