--- a/crates/onyxstile-system/tests/record_log.rs
+++ b/crates/onyxstile-system/tests/record_log.rs
@@ -1,4 +1,4 @@
-//! The log of numbered records through losses of power, kills, refused calls, a full disk and spoilt files.
+//! The record log under power failures, kills, refused calls, a full disk and corrupt files.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -30,11 +30,11 @@
     PowerLost,
 }
 
-/// What one history showed: whether the log was sound at each start.
+/// Runs one history and returns whether the log was intact at each start.
 fn history(seed: u64, end: End) -> bool {
     let mut random = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
     let disk = SimDisk::default();
-    let mut kept: BTreeSet<u64> = BTreeSet::new();
+    let mut acknowledged: BTreeSet<u64> = BTreeSet::new();
     let mut dropped: BTreeSet<u64> = BTreeSet::new();
     let mut next = 0;
     for incarnation in 0..4 {
@@ -42,7 +42,7 @@
         if !is_intact {
             return false;
         }
-        for number in &kept {
+        for number in &acknowledged {
             assert_eq!(
                 found.get(number),
                 Some(&value(*number)),
@@ -50,7 +50,11 @@
             );
         }
         for (number, bytes) in &found {
-            assert_eq!(*bytes, value(*number), "seed {seed}, incarnation {incarnation}: nobody wrote that");
+            assert_eq!(
+                *bytes,
+                value(*number),
+                "seed {seed}, incarnation {incarnation}: wrong content of {number}"
+            );
             assert!(*number < next, "seed {seed}, incarnation {incarnation}: {number} was never written");
         }
         disk.fail(random.next_u64() % 90, Fault::Killed(random.next_u32() % 1_001));
@@ -60,16 +64,16 @@
             next += count;
             let records = numbers.iter().map(|number| (*number, value(*number))).collect();
             if log.append(records).is_ok() && !disk.is_dead() {
-                kept.extend(numbers);
+                acknowledged.extend(numbers);
             }
-            if random.next_u32().is_multiple_of(2) && !kept.is_empty() {
-                let number = *kept.iter().next().expect("there is one");
-                kept.remove(&number);
+            if random.next_u32().is_multiple_of(2) && !acknowledged.is_empty() {
+                let number = *acknowledged.iter().next().expect("there is one");
+                acknowledged.remove(&number);
                 dropped.insert(number);
-                // What the disk refuses is dropped later.
+                // A removal that the disk refuses is retried later.
                 log.drop_records(vec![number]).ok();
             }
-            for number in kept.iter().rev().take(2) {
+            for number in acknowledged.iter().rev().take(2) {
                 let read = log.read(*number).expect("is read");
                 assert_eq!(read, Some(value(*number)), "seed {seed}, incarnation {incarnation}: {number}");
             }
@@ -83,65 +87,68 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlasts_a_loss_of_power_at_any_call() {
+fn acknowledged_records_survive_power_failure_at_any_call() {
     for seed in 0..600 {
-        assert!(history(seed, End::PowerLost), "seed {seed}: a loss of power is taken for a loss of records");
+        assert!(
+            history(seed, End::PowerLost),
+            "seed {seed}: a power failure was reported as a loss of records"
+        );
     }
 }
 
 #[test]
-fn what_was_acknowledged_outlasts_a_kill_at_any_call() {
+fn acknowledged_records_survive_a_kill_at_any_call() {
     for seed in 0..300 {
-        assert!(history(seed, End::Killed), "seed {seed}: a kill is taken for a loss of records");
+        assert!(history(seed, End::Killed), "seed {seed}: a kill was reported as a loss of records");
     }
 }
 
 #[test]
-fn a_write_that_is_refused_harms_no_other() {
+fn refused_write_does_not_affect_other_records() {
     for fault in [Fault::Refused, Fault::Torn(300), Fault::Torn(1_000)] {
         for call in 0..40 {
             let disk = SimDisk::default();
             let (OpenedLog { mut log, .. }, _) = open(&disk, LIMIT);
             disk.fail(call, fault);
-            let mut kept = Vec::new();
+            let mut acknowledged = Vec::new();
             for number in 0..40 {
                 if log.append(vec![(number, value(number))]).is_ok() {
-                    kept.push(number);
+                    acknowledged.push(number);
                 }
             }
-            assert!(kept.len() >= 38, "{fault:?} at {call}: it goes on after one refusal");
+            assert!(acknowledged.len() >= 38, "{fault:?} at {call}: writing continues after one refusal");
             disk.lose_power(|below| below - 1);
             let (opened, found) = open(&disk, LIMIT);
             assert!(opened.is_intact, "{fault:?} at {call}");
-            let lost: Vec<&u64> = kept.iter().filter(|number| !found.contains_key(number)).collect();
+            let lost: Vec<&u64> = acknowledged.iter().filter(|number| !found.contains_key(number)).collect();
             assert!(lost.is_empty(), "{fault:?} at {call}: {lost:?}");
         }
     }
 }
 
 #[test]
-fn a_full_disk_refuses_what_is_new_keeps_the_rest_and_takes_more_once_some_is_dropped() {
+fn full_disk_refuses_new_records_until_others_are_dropped() {
     let disk = SimDisk::default();
     let (OpenedLog { mut log, .. }, _) = open(&disk, LIMIT);
     let big = |number: u64| vec![number as u8; 20_000];
-    let mut kept = Vec::new();
+    let mut acknowledged = Vec::new();
     for number in 0..60 {
         if log.append(vec![(number, big(number))]).is_ok() {
-            kept.push(number);
+            acknowledged.push(number);
         }
     }
-    assert!((10..59).contains(&kept.len()), "{} records were taken", kept.len());
+    assert!((10..59).contains(&acknowledged.len()), "{} records were accepted", acknowledged.len());
     assert!(log.used_bytes() <= LIMIT);
-    log.drop_records(kept.drain(..8).collect()).expect("drops");
-    log.append(vec![(100, big(100))]).expect("there is room again");
-    kept.push(100);
+    log.drop_records(acknowledged.drain(..8).collect()).expect("drops");
+    log.append(vec![(100, big(100))]).expect("there is space again");
+    acknowledged.push(100);
     let (opened, found) = open(&disk, LIMIT);
     assert!(opened.is_intact);
-    assert_eq!(found.keys().copied().collect::<Vec<_>>(), kept);
+    assert_eq!(found.keys().copied().collect::<Vec<_>>(), acknowledged);
 }
 
 #[test]
-fn room_is_bounded_while_records_come_and_go() {
+fn disk_usage_is_bounded_while_records_are_added_and_dropped() {
     let disk = SimDisk::default();
     let (OpenedLog { mut log, .. }, _) = open(&disk, LIMIT);
     for number in 0..3_000u64 {
@@ -156,7 +163,7 @@
 }
 
 #[test]
-fn a_record_of_the_largest_size_is_written_and_read() {
+fn writes_and_reads_a_record_of_maximum_size() {
     let disk = SimDisk::default();
     let limit = 256 * 1024 * 1024;
     let (OpenedLog { mut log, .. }, _) = open(&disk, limit);
@@ -168,8 +175,8 @@
     assert_eq!(found, records.into_iter().collect());
 }
 
-/// A log of several segments, and its files' names.
-fn written() -> (SimDisk, Contents) {
+/// A log of several segments, and the records that it holds.
+fn log_of_several_segments() -> (SimDisk, Contents) {
     let disk = SimDisk::default();
     let (OpenedLog { mut log, .. }, _) = open(&disk, LIMIT);
     let mut contents = Contents::new();
@@ -181,15 +188,15 @@
 }
 
 #[test]
-fn a_spoilt_place_in_the_middle_is_a_loss_until_it_is_accepted() {
-    let (disk, contents) = written();
+fn corruption_in_the_middle_is_a_loss_until_it_is_accepted() {
+    let (disk, contents) = log_of_several_segments();
     let mut first = disk.bytes("000000000001.seg").expect("is there");
     let middle = first.len() / 2;
     first[middle] ^= 1;
     disk.set("000000000001.seg", first);
     for _ in 0..2 {
         let (opened, found) = open(&disk, LIMIT);
-        assert!(!opened.is_intact, "it is said at each start");
+        assert!(!opened.is_intact, "the loss is reported at each start");
         assert!(found.iter().all(|(number, bytes)| contents[number] == *bytes));
         assert!(found.len() < contents.len());
     }
@@ -202,14 +209,14 @@
 }
 
 #[test]
-fn a_torn_end_is_no_loss() {
-    let (disk, _) = written();
-    let (_, whole) = open(&disk, LIMIT);
+fn truncated_end_is_not_a_loss() {
+    let (disk, _) = log_of_several_segments();
+    let (_, complete) = open(&disk, LIMIT);
     let last = (1..9).rev().map(|id| format!("{id:012}.seg")).find(|name| disk.bytes(name).is_some());
-    let last = last.expect("there is a segment");
+    let last = last.expect("a segment");
     let bytes = disk.bytes(&last).expect("is there");
     disk.set(&last, bytes[..bytes.len() - 10].to_vec());
     let (opened, found) = open(&disk, LIMIT);
     assert!(opened.is_intact);
-    assert_eq!(found.len(), whole.len() - 1);
+    assert_eq!(found.len(), complete.len() - 1);
 }
