--- a/crates/onyxstile-system/src/role.rs
+++ b/crates/onyxstile-system/src/role.rs
@@ -1,4 +1,4 @@
-//! The roles: sockets, files and the clock round the pure parts. Nothing here decides.
+//! Runtime of the roles: sockets, files and clocks around the pure state machines, which make all decisions.
 
 pub mod agent;
 pub mod controller;
--- a/crates/onyxstile-system/src/role/agent.rs
+++ b/crates/onyxstile-system/src/role/agent.rs
@@ -1,7 +1,7 @@
-//! The agent role: the link to the controllers, and the feed of the proxy beside it.
+//! The agent role: follows the controllers and feeds the proxy on the same machine.
 //!
-//! An agent that dies leaves its proxy serving; one that returns feeds it from the start, and the proxy ignores what is
-//! older than what it has.
+//! The proxy keeps serving if the agent dies. A restarted agent sends a complete feed; the proxy ignores everything older
+//! than its own data.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
@@ -23,18 +23,18 @@
 use crate::settings::Settings;
 use crate::wire::{Feed, Request, Response};
 
-/// How long a controller may hold a poll without news.
+/// Longest time for which a controller may hold a poll that has no updates.
 const POLL_WAIT: Duration = Duration::from_millis(1000);
-/// The proxy is fed at least this often, so that one that started again is noticed.
+/// Longest interval between feeds, so that a restart of the proxy is noticed.
 const FEED_INTERVAL: Duration = Duration::from_millis(500);
-/// How long the proxy has to take a feed.
+/// Timeout of one feed request.
 const FEED_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The part of the grace for which a proxy may drain.
+/// Share of the grace period for which the proxy may drain.
 const DRAIN_SHARE: f64 = 0.9;
-/// Pause after a feed that failed.
+/// Delay after a failed feed.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Runs the role until SIGTERM, and then until the proxy beside it is gone.
+/// Runs the role until SIGTERM, and then until the proxy on the same machine has ended.
 pub async fn run(settings: Settings, signals: Signals) -> Result<(), RoleError> {
     let proxy = settings.feed_address();
     let clock = SteadyClock::start();
@@ -50,19 +50,19 @@
         synced_epoch: Rc::default(),
     };
     let updates = subscription::follow(settings.clone(), client.clone(), options);
-    log::info!("agent of {} feeds {proxy}", settings.borrow().node_name);
+    log::info!("agent of {} is feeding {proxy}", settings.borrow().node_name);
     let is_ending = Rc::new(Cell::new(false));
     let link = ProxyLink { client, proxy, clock };
     tokio::select! {
         () = metrics::serve(settings.borrow().clone(), clock, move || collect_metrics(&reported_state.borrow())) => {}
-        () = feed(link, updates, &feed_state, is_ending.clone(), evidence) => log::info!("the proxy is gone"),
+        () = feed(link, updates, &feed_state, is_ending.clone(), evidence) => log::info!("the proxy has ended"),
         () = signals::reload_settings(hangups, settings.clone(), |_| {}) => {}
-        () = end(termination, &settings, clock, is_ending) => log::info!("the agent ends"),
+        () = end(termination, &settings, clock, is_ending) => log::info!("the agent is shutting down"),
     }
     Ok(())
 }
 
-/// After SIGTERM the agent goes on for as long as its proxy drains.
+/// Waits for SIGTERM, and then for the time in which the proxy may drain.
 async fn end(
     termination: Termination, settings: &RefCell<Settings>, clock: SteadyClock, is_ending: Rc<Cell<bool>>,
 ) {
@@ -72,7 +72,7 @@
     grace.wait_until(settings, clock, |grace| grace.sigterm_at() + grace.grace().mul_f64(DRAIN_SHARE)).await;
 }
 
-/// The way to the proxy.
+/// Connection to the proxy.
 struct ProxyLink {
     client: Client,
     proxy: SocketAddrV4,
@@ -96,7 +96,7 @@
                 *evidence.borrow_mut() = reported;
             }
             result => {
-                // Another life of the proxy, or none: the next feed is whole.
+                // The proxy was restarted or is down: the next feed is complete.
                 fed_incarnation = None;
                 if is_ending.get() && result.is_err() {
                     return;
@@ -107,7 +107,7 @@
     }
 }
 
-/// Waits for news or the next regular feed; what changed, as one feed.
+/// Waits for an update or for the next regular feed, and returns the changes as one feed.
 async fn collect_changes(
     clock: SteadyClock, updates: &mut UnboundedReceiver<FeedUpdate>, feed_state: &RefCell<FeedState>,
 ) -> Feed {
@@ -120,26 +120,26 @@
     feed
 }
 
-/// What an agent tells of itself in figures.
+/// Metrics of an agent.
 fn collect_metrics(feed_state: &FeedState) -> Metrics {
     let mut metrics = Metrics::default();
     let snapshot = feed_state.snapshot();
     metrics.flag(
         "fresh",
-        "Whether a majority of the controllers was heard since the start.",
+        "Whether a majority of the controllers has responded since the start.",
         snapshot.is_fresh,
     );
-    let help = "Time from the start until it was heard; -1 before.";
+    let help = "Time from the start until a majority had responded; -1 before.";
     metrics.time_taken("fresh_after_seconds", help, feed_state.fresh_after());
     let sequence = snapshot.state.as_ref().map_or(0, |state| state.sequence);
     metrics.gauge("sequence", "Number of the newest control state.", sequence as f64);
     let configuration = snapshot.state.and_then(|state| state.configuration);
     let revision = configuration.map_or(0, |configuration| configuration.revision);
     metrics.gauge("revision", "Revision of the newest configuration.", revision as f64);
-    metrics.gauge("endpoints_known", "Endpoints that it has heard of.", snapshot.endpoints.len() as f64);
+    metrics.gauge("endpoints_known", "Endpoints that the agent knows.", snapshot.endpoints.len() as f64);
     metrics.gauge(
         "relays",
-        "Relays that controllers count; 0 if unknown.",
+        "Relays that the controllers count; 0 if unknown.",
         f64::from(snapshot.relays.unwrap_or(0)),
     );
     metrics
--- a/crates/onyxstile-system/src/role/guarded_body.rs
+++ b/crates/onyxstile-system/src/role/guarded_body.rs
@@ -1,18 +1,18 @@
-//! The body of an answer that holds something until its last byte has been handed over.
+//! Response body that keeps a guard alive until its last byte has been handed over.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
 use hyper::body::{Body, Frame, SizeHint};
 
-/// A body, and what lives as long as it.
+/// Body with a guard of the same lifetime.
 pub struct GuardedBody<B, G> {
     body: B,
     _guard: G,
 }
 
 impl<B, G> GuardedBody<B, G> {
-    /// Holds `held` for as long as the body is not whole.
+    /// Keeps `guard` alive until the body is dropped.
     pub fn new(body: B, guard: G) -> GuardedBody<B, G> {
         GuardedBody { body, _guard: guard }
     }
--- a/crates/onyxstile-system/src/role/http.rs
+++ b/crates/onyxstile-system/src/role/http.rs
@@ -1,4 +1,4 @@
-//! Small HTTP helpers that the roles share.
+//! HTTP helpers shared by the roles.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -15,17 +15,17 @@
 use crate::clock::SteadyClock;
 use crate::connection_watchdog::ConnectionTimeouts;
 
-/// A whole answer.
+/// Response with a complete body.
 pub type Answer = Response<Full<Bytes>>;
 
-/// An answer with a status and a text.
+/// Response with a status and a text body.
 pub fn text(status: StatusCode, body: impl Into<Bytes>) -> Answer {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
     response
 }
 
-/// An answer in JSON.
+/// Response with a JSON body.
 pub fn json(status: StatusCode, body: impl Into<Bytes>) -> Answer {
     let mut response = text(status, body);
     let value = hyper::header::HeaderValue::from_static("application/json");
@@ -33,18 +33,18 @@
     response
 }
 
-/// Why a body was not read.
+/// Reason why a body could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is longer than allowed.
+    /// The body exceeds the size limit.
     TooLong,
-    /// It ended early.
+    /// The body ended early.
     Broken,
-    /// It did not end in time.
+    /// The body was not complete within the timeout.
     TooSlow,
 }
 
-/// A body as a whole, of at most `most` bytes, that ends within `patience`.
+/// Reads a complete body of at most `max_bytes` bytes within `timeout`.
 pub async fn read_body<B>(body: B, max_bytes: usize, timeout: Duration) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes>,
@@ -63,13 +63,13 @@
     }
 }
 
-/// What endpoints, operators and the platform are allowed: they keep connections between heartbeats.
+/// Limits for endpoints, operators and the platform; they keep connections open between heartbeats.
 const READ_LIMITS: ReadLimits = ReadLimits {
     timeouts: ConnectionTimeouts { head: Duration::from_secs(3), idle: Duration::from_secs(60) },
     head_max: None,
 };
 
-/// Answers all requests that come to a listener with `answer` until the shutdown begins. It does not return.
+/// Answers all requests that arrive at a listener with `answer` until the shutdown begins. The future never completes.
 pub async fn serve<F, A>(listener: TcpListener, clock: SteadyClock, shutdown: Rc<Shutdown>, answer: F)
 where
     F: Fn(Request<Incoming>) -> A + 'static,
--- a/crates/onyxstile-system/src/role/identity.rs
+++ b/crates/onyxstile-system/src/role/identity.rs
@@ -1,10 +1,11 @@
-//! Ids that tell disks and lives of processes apart.
+//! Random ids that distinguish disks and process incarnations.
 
 use std::hash::{BuildHasher, Hasher};
 
 use super::membership;
 
-/// An id that no other disk or process has: the kernel's randomness, or the time of day where there is none.
+/// Returns a non-zero id that is unique among disks and processes, from the random keys of the standard hasher, the wall
+/// clock and the process id.
 pub fn random_id() -> u64 {
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
     hasher.write_u64(membership::wall_clock_ms());
--- a/crates/onyxstile-system/src/role/lingering_close.rs
+++ b/crates/onyxstile-system/src/role/lingering_close.rs
@@ -1,7 +1,8 @@
-//! The lingering close of a connection: its writing half is shut, and what still comes is read and dropped until the client
-//! closes as well.
+//! Lingering close of a connection: the write half is shut down, and input is read and discarded until the client closes
+//! as well.
 //!
-//! The system resets a connection that is closed over unread bytes, and throws away what it had not yet sent of the answers.
+//! If a socket is closed with unread input, the operating system resets the connection and drops response bytes that it
+//! has not sent yet.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -10,35 +11,35 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::time::{Instant, Sleep};
 
-/// A client that sends nothing more and does not close is waited for this long: a lost packet comes again after a second.
+/// Time to wait for a client that sends nothing and does not close: a lost packet is sent again after 1 s.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// One that goes on sending is read for this long in all.
+/// Total time for which input of a client that keeps sending is read.
 const TOTAL_TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes dropped at a time.
+/// Bytes discarded per read.
 const CHUNK_BYTES: usize = 8 * 1024;
-/// Pieces in one turn of the process: others are served meanwhile.
+/// Reads per poll, so that other tasks are not blocked.
 const CHUNKS_PER_POLL: usize = 16;
 
-/// How far a lingering close is.
+/// State of a lingering close.
 pub struct LingeringClose {
     deadline: Instant,
     discarded: u64,
 }
 
 impl LingeringClose {
-    /// The writing half has just been shut; `sleep` is the connection's one timer.
+    /// Starts after the write half was shut down. `sleep` is the single timer of the connection.
     pub fn begin(sleep: Pin<&mut Sleep>) -> LingeringClose {
         let now = Instant::now();
         sleep.reset(now + IDLE_TIMEOUT);
         LingeringClose { deadline: now + TOTAL_TIMEOUT, discarded: 0 }
     }
 
-    /// Bytes dropped so far.
+    /// Bytes discarded so far.
     pub fn discarded(&self) -> u64 {
         self.discarded
     }
 
-    /// Reads and drops; ready once the client has closed or a bound is reached.
+    /// Reads and discards input; ready once the client has closed or a timeout has expired.
     pub fn poll<S: AsyncRead + Unpin>(
         &mut self, stream: &mut S, mut sleep: Pin<&mut Sleep>, cx: &mut Context<'_>,
     ) -> Poll<()> {
@@ -55,7 +56,7 @@
             self.discarded += read as u64;
             sleep.as_mut().reset(self.deadline.min(Instant::now() + IDLE_TIMEOUT));
         }
-        // More may be there: the next turn goes on, unless the time is over.
+        // More input may be available: continue in the next poll unless the time is over.
         if Instant::now() >= self.deadline {
             return Poll::Ready(());
         }
--- a/crates/onyxstile-system/src/role/listener.rs
+++ b/crates/onyxstile-system/src/role/listener.rs
@@ -1,4 +1,4 @@
-//! Connections of HTTP clients: taken up until the shutdown begins, each a piece of work that ends with it.
+//! HTTP client connections: accepted until the shutdown begins. Each one counts as open work until it ends.
 
 use std::convert::Infallible;
 use std::error::Error;
@@ -23,19 +23,19 @@
 use crate::clock::SteadyClock;
 use crate::connection_watchdog::ConnectionTimeouts;
 
-/// Pause after a failure to accept: descriptors are short, most likely.
+/// Delay after a failed accept, most likely due to a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Takes up connections until the shutdown begins, and those that wait then, and listens no more. It does not return: a role's run
-/// ends with its work, not with its listener.
+/// Accepts connections until the shutdown begins, then those still in the accept queue, and closes the listener. The
+/// future never completes: a role ends when its open work does, not when its listener closes.
 pub async fn accept<F: Future<Output = ()> + 'static>(
     listener: TcpListener, shutdown: Rc<Shutdown>, serve: impl Fn(TcpStream, WorkGuard) -> F,
 ) {
-    // What waits to be taken up may become work: until the listener has closed the end has not come.
+    // Queued connections may become work, so the shutdown must not complete before the listener has closed.
     let listener_guard = shutdown.enter();
     loop {
         let accepted = tokio::select! {
-            // The end goes first: a listener that always has somebody to take up closes all the same.
+            // Shutdown takes precedence: otherwise a listener with a steady stream of connections would never close.
             biased;
             () = shutdown.begun() => break,
             accepted = listener.accept() => accepted,
@@ -55,7 +55,7 @@
     pending().await
 }
 
-/// Takes up the connections that wait at a listener: closed over them it would reset each, whatever its client has sent.
+/// Accepts the queued connections. Closing the listener would reset each of them, whatever the client has already sent.
 async fn accept_queued<F: Future<Output = ()> + 'static>(
     listener: &TcpListener, shutdown: &Rc<Shutdown>, serve: &impl Fn(TcpStream, WorkGuard) -> F,
 ) {
@@ -77,19 +77,20 @@
     tokio::task::spawn_local(serve(stream, shutdown.enter()));
 }
 
-/// How requests are read at a listener.
+/// Limits for reading requests at a listener.
 #[derive(Clone, Copy)]
 pub struct ReadLimits {
-    /// How long a connection may stay as it is.
+    /// Timeouts of a connection.
     pub timeouts: ConnectionTimeouts,
-    /// The longest head, in bytes; the library's own bound if not given.
+    /// Maximum size of a request head in bytes; `None` for the default of the HTTP library.
     pub head_max: Option<usize>,
 }
 
-/// Serves a connection to its end, which is when the client has closed it as well behind the last answer.
+/// Serves a connection until the client has also closed it after the last response.
 ///
-/// Once the shutdown has begun it is closed as soon as nothing is due on it: a head that has come in part is read to its end and
-/// answered, and so is a request behind an answer that had begun before and could not say that the connection closes.
+/// Once the shutdown has begun, the connection is closed as soon as nothing is pending on it. A head that has arrived in
+/// part is read to its end and answered. So is a request that follows a response which had begun before the shutdown and
+/// could not announce that the connection closes.
 pub async fn serve<A, F, B>(
     stream: TcpStream, clock: SteadyClock, limits: ReadLimits, shutdown: &Shutdown, answer: A,
 ) where
@@ -120,7 +121,7 @@
     }
 }
 
-/// Goes on with a connection until nothing is due on it, and closes it then.
+/// Polls a connection until nothing is pending on it, then closes it.
 async fn end<I, S>(mut connection: Pin<&mut Connection<I, S>>, handle: &WatchHandle) -> hyper::Result<()>
 where
     I: Read + Write + Unpin,
@@ -152,8 +153,8 @@
     connection.await
 }
 
-/// Lets the runtime ask the system what has come: its reads go by what it last heard, and a socket that has just been taken up
-/// was not heard of at all.
+/// Yields so that the runtime polls the operating system for events. Its reads rely on the last poll, which does not
+/// cover a socket that has just been accepted.
 async fn yield_to_io_driver() {
     tokio::task::yield_now().await;
 }
--- a/crates/onyxstile-system/src/role/membership.rs
+++ b/crates/onyxstile-system/src/role/membership.rs
@@ -1,4 +1,4 @@
-//! The membership's socket and clock: datagrams to and from [`Swim`].
+//! Socket and clock of the membership protocol: passes datagrams to and from [`Swim`].
 
 use std::cell::RefCell;
 use std::io;
@@ -13,15 +13,15 @@
 use crate::swim::{Class, Datagram, Member, MemberState, Outgoing, Swim, Timing};
 use crate::wire;
 
-/// How often the protocol's clock is looked at.
+/// Interval between ticks of the protocol.
 const TICK: Duration = Duration::from_millis(50);
-/// Most bytes of a datagram that are read.
+/// Maximum size of a received datagram in bytes.
 const DATAGRAM_MAX: usize = 8 * 1024;
 
-/// The membership as the rest of a process sees it.
+/// Membership shared within a process.
 pub type Shared = Rc<RefCell<Swim>>;
 
-/// This machine's record at its start.
+/// Membership record of this machine at its start.
 pub fn own_record(settings: &Settings, class: Class, disk: u64) -> Member {
     Member {
         ip: settings.ip.octets(),
@@ -34,12 +34,12 @@
     }
 }
 
-/// The time of day in ms.
+/// Wall-clock time in ms since the Unix epoch.
 pub fn wall_clock_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_millis() as u64)
 }
 
-/// Starts this machine's part in the membership.
+/// Binds the UDP socket and starts the membership protocol of this machine.
 pub async fn start(settings: &Settings, class: Class, disk: u64, clock: SteadyClock) -> io::Result<Shared> {
     let port = settings.peer_port();
     let socket = Rc::new(UdpSocket::bind(SocketAddrV4::new(settings.ip, port)).await?);
@@ -66,7 +66,7 @@
         let length = match socket.recv_from(&mut buffer).await {
             Ok((length, _)) => length,
             Err(error) => {
-                // A dead port answers with an error on the next call; that is no reason to stop.
+                // A closed port of a peer surfaces as an error of the next call; the socket stays usable.
                 log::debug!("membership socket: {error}");
                 continue;
             }
--- a/crates/onyxstile-system/src/role/metrics.rs
+++ b/crates/onyxstile-system/src/role/metrics.rs
@@ -1,4 +1,4 @@
-//! The listener at which a role tells its figures.
+//! Metrics endpoint of a role.
 
 use std::future::pending;
 use std::net::SocketAddrV4;
@@ -14,11 +14,11 @@
 use crate::metrics::Metrics;
 use crate::settings::Settings;
 
-/// The format's name.
+/// Content type of the metrics.
 const FORMAT: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Tells figures to whoever asks, if the role is to tell any. Where it can't listen it says so and goes on: nothing depends on
-/// figures.
+/// Serves metrics if the settings have an address for them. If it cannot listen there, it logs the error and the role
+/// continues: nothing depends on metrics.
 pub async fn serve(settings: Settings, clock: SteadyClock, metrics: impl Fn() -> Metrics + 'static) {
     let Some(endpoint) = settings.metrics else { return pending().await };
     let address = SocketAddrV4::new(settings.ip, endpoint.port);
@@ -31,7 +31,7 @@
             http::serve(listener, clock, Rc::default(), answer).await;
         }
         Err(error) => {
-            log::warn!("figures are not told at {address}: {error}");
+            log::warn!("metrics are not served at {address}: {error}");
             pending().await
         }
     }
--- a/crates/onyxstile-system/src/role/rpc.rs
+++ b/crates/onyxstile-system/src/role/rpc.rs
@@ -1,4 +1,4 @@
-//! Requests between roles over TCP: one connection a peer, many calls on it, each with an end of its own.
+//! RPC between roles over TCP: one connection per peer with many concurrent calls, each with its own timeout.
 
 mod frame;
 mod server;
@@ -22,32 +22,32 @@
 use crate::wire::{self, Request, Response};
 use frame::{read_frame, write_frames};
 
-/// A first connection has to come up within this time: some round trips between regions.
+/// Timeout of a first connection attempt: several round trips between regions.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// After this many failures the next attempts have twice the time: the link may be crowded.
+/// Number of failures after which the timeout of the next attempts is doubled: the link may be congested.
 const FAILURES_PER_DOUBLING: u32 = 2;
-/// The most doublings.
+/// Maximum number of doublings.
 const DOUBLINGS_MAX: u32 = 3;
-/// Frames that may wait for a peer that does not read; beyond, calls fail at once.
+/// Maximum number of frames queued for a peer that does not read; further calls fail at once.
 const OUTGOING_MAX: usize = 4096;
-/// The number of frames that want no answer.
+/// Call number of frames that need no response.
 const ONE_WAY_CALL: u64 = 0;
 
 quick_error! {
-    /// Why a call has no answer.
+    /// Reason why a call failed.
     #[derive(Debug)]
     pub enum RpcError {
-        /// There is no connection, or it ended.
+        /// There is no connection, or it was closed.
         Disconnected {
             display("no connection")
         }
-        /// No answer came in time.
+        /// The response timeout expired.
         TimedOut {
-            display("no answer in time")
+            display("response timeout")
         }
-        /// Too many frames wait for the peer.
+        /// The send queue to the peer is full.
         Congested {
-            display("the peer does not read")
+            display("send queue to the peer is full")
         }
     }
 }
@@ -63,20 +63,20 @@
 #[derive(Default)]
 struct State {
     connections: HashMap<SocketAddrV4, Connection>,
-    /// Connections in a row that did not come up.
+    /// Number of consecutive failed connection attempts.
     failures: HashMap<SocketAddrV4, u32>,
     last_call: u64,
     last_connection_id: u64,
 }
 
-/// Calls to other machines.
+/// RPC client.
 #[derive(Clone, Default)]
 pub struct Client {
     state: Rc<RefCell<State>>,
 }
 
 impl Client {
-    /// Asks a peer and waits for its answer, `patience` at most.
+    /// Sends a request to a peer and waits for its response for at most `timeout`.
     pub async fn call(
         &self, to: SocketAddrV4, request: &Request, timeout: Duration,
     ) -> Result<Response, RpcError> {
@@ -86,14 +86,14 @@
             Ok(Ok(response)) => Ok(response),
             Ok(Err(_)) => Err(RpcError::Disconnected),
             Err(_) => {
-                // Whether the peer is slow or gone can't be told; the next call gets a connection of its own.
+                // A slow peer can't be distinguished from an unreachable one; the next call opens a new connection.
                 self.disconnect(to, connection_id);
                 Err(RpcError::TimedOut)
             }
         }
     }
 
-    /// Sends what wants no answer; it may be lost.
+    /// Sends a request that needs no response; it may be lost.
     pub fn cast(&self, to: SocketAddrV4, request: &Request) {
         if let Err(error) = self.enqueue(to, request, None) {
             log::debug!("to {to}: {error}");
@@ -182,7 +182,7 @@
         let (number, body) = read_frame(&mut reader).await?;
         let response = wire::decode(&body).map_err(io::Error::other)?;
         if let Some(answer) = pending.borrow_mut().remove(&number) {
-            // Whoever asked may have given up meanwhile.
+            // The caller may have timed out.
             answer.send(response).ok();
         }
     }
--- a/crates/onyxstile-system/src/role/rpc/frame.rs
+++ b/crates/onyxstile-system/src/role/rpc/frame.rs
@@ -1,4 +1,4 @@
-//! Frames of a connection between roles: length, number of the call, body.
+//! Frame format of RPC connections: body length, call number, body.
 
 use std::io;
 
@@ -8,7 +8,7 @@
 
 use crate::wire::{self, FRAME_MAX};
 
-/// The next frame: the number of its call, and its body.
+/// Reads the next frame; returns its call number and body.
 pub(super) async fn read_frame(reader: &mut BufReader<OwnedReadHalf>) -> io::Result<(u64, Vec<u8>)> {
     let length = reader.read_u32().await? as usize;
     let number = reader.read_u64().await?;
@@ -20,7 +20,7 @@
     Ok((number, body))
 }
 
-/// Writes frames until nothing more can come; what waits goes out together.
+/// Writes frames until the queue is closed; queued frames are written together.
 pub(super) async fn write_frames(
     mut writer: OwnedWriteHalf, mut queue: mpsc::Receiver<(u64, Vec<u8>)>,
 ) -> io::Result<()> {
--- a/crates/onyxstile-system/src/role/rpc/server.rs
+++ b/crates/onyxstile-system/src/role/rpc/server.rs
@@ -1,4 +1,4 @@
-//! The answering end of connections between roles.
+//! RPC server.
 
 use std::future::Future;
 use std::io;
@@ -16,12 +16,12 @@
 use crate::role::socket;
 use crate::wire::{self, Request, Response};
 
-/// The answer to one request, once it is there.
+/// Future of the response to one request.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = Response>>>;
-/// What answers requests.
+/// Request handler.
 pub type Handler = Rc<dyn Fn(Request) -> ResponseFuture>;
 
-/// Answers all requests that come to a listener.
+/// Answers all requests that arrive at a listener.
 pub async fn serve(listener: TcpListener, handler: Handler) {
     loop {
         match listener.accept().await {
@@ -34,7 +34,7 @@
                 });
             }
             Err(error) => {
-                log::warn!("accepting peers: {error}");
+                log::warn!("cannot accept a peer connection: {error}");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
@@ -63,7 +63,7 @@
         tokio::task::spawn_local(async move {
             let response = answer.await;
             if number != ONE_WAY_CALL {
-                // The connection may have ended meanwhile.
+                // The connection may have been closed.
                 outgoing.send((number, wire::encode(&response))).await.ok();
             }
         });
--- a/crates/onyxstile-system/src/role/shortest_grace.rs
+++ b/crates/onyxstile-system/src/role/shortest_grace.rs
@@ -1,4 +1,4 @@
-//! The time that a role has left once it has been told to end.
+//! Time left for a role after SIGTERM.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -7,11 +7,11 @@
 use crate::clock::{Instant, SteadyClock};
 use crate::settings::{Settings, shutdown_time};
 
-/// How often it is looked whether the settings name another grace.
+/// Interval between checks for a changed grace period in the settings.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The shortest grace that the settings have named since SIGTERM. Whether the kill goes by the one at SIGTERM or by a later one
-/// can't be known.
+/// Shortest grace period in the settings since SIGTERM. The platform may kill the process by the grace period at SIGTERM
+/// or by a later one; which one applies is unknown.
 #[derive(Debug)]
 pub struct ShortestGrace {
     sigterm_at: Instant,
@@ -19,34 +19,35 @@
 }
 
 impl ShortestGrace {
-    /// SIGTERM came at `told`; the kill comes `grace` later.
+    /// Creates the state for a SIGTERM at `sigterm_at`; the kill follows `grace` later.
     pub fn new(sigterm_at: Instant, grace: Duration) -> ShortestGrace {
         ShortestGrace { sigterm_at, grace: Cell::new(grace) }
     }
 
-    /// The settings name a grace at `now`. One that is over already is not the kill's, or that had come.
+    /// Applies the grace period in the settings at `now`. One that has already expired is ignored: if it applied, the
+    /// kill would have come.
     pub fn update(&self, now: Instant, grace: Duration) {
         if self.sigterm_at + grace > now {
             self.grace.set(self.grace().min(grace));
         }
     }
 
-    /// When SIGTERM came.
+    /// Time of SIGTERM.
     pub fn sigterm_at(&self) -> Instant {
         self.sigterm_at
     }
 
-    /// The grace that holds.
+    /// Effective grace period.
     pub fn grace(&self) -> Duration {
         self.grace.get()
     }
 
-    /// When the role ends at the latest.
+    /// Latest time at which the role ends.
     pub fn deadline(&self) -> Instant {
         self.sigterm_at + shutdown_time(self.grace())
     }
 
-    /// Waits for a time that a shorter grace brings forward.
+    /// Waits until the time given by `time`, which a shorter grace period brings forward.
     pub async fn wait_until(
         &self, settings: &RefCell<Settings>, clock: SteadyClock, time: impl Fn(&ShortestGrace) -> Instant,
     ) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Waits until a shutdown has ended; false if the kill is near before that.
+    /// Waits until a shutdown is complete; false if the deadline expires first.
     pub async fn wait_for_shutdown(
         &self, shutdown: &Shutdown, settings: &RefCell<Settings>, clock: SteadyClock,
     ) -> bool {
--- a/crates/onyxstile-system/src/role/shortest_grace/tests.rs
+++ b/crates/onyxstile-system/src/role/shortest_grace/tests.rs
@@ -1,4 +1,4 @@
-//! A grace that changes after SIGTERM.
+//! Changes of the grace period after SIGTERM.
 
 use super::*;
 
@@ -6,21 +6,21 @@
     Instant::from_millis(ms)
 }
 
-/// By reading: a drain went by the grace at SIGTERM, and a shorter one that came meanwhile meant a kill before its end. Seen under
-/// a soak: an agent whose proxy had returned sooner went on after the shorter grace.
+/// A drain went by the grace period at SIGTERM, so a shorter one set meanwhile meant a kill before its end; found by code
+/// review. In a soak test, an agent whose proxy had returned sooner kept running after the shorter grace period.
 #[test]
-fn the_shortest_grace_since_sigterm_holds() {
+fn shortest_grace_period_since_sigterm_applies() {
     let grace = ShortestGrace::new(at(1000), Duration::from_secs(8));
     assert_eq!(grace.deadline(), at(8600));
     grace.update(at(2000), Duration::from_secs(3));
     assert_eq!(grace.deadline(), at(3600));
     grace.update(at(2500), Duration::from_secs(20));
-    assert_eq!(grace.deadline(), at(3600), "the kill may go by the one before");
+    assert_eq!(grace.deadline(), at(3600), "the kill may follow the earlier grace period");
 }
 
-/// Seen under a soak: requests that had been begun in time were cut, as a grace of 3 s was named 4 s after SIGTERM.
+/// Found by a soak test: requests that had begun in time were cut when a grace period of 3 s was set 4 s after SIGTERM.
 #[test]
-fn a_grace_that_is_over_as_it_is_named_is_not_the_kills() {
+fn grace_period_that_has_already_expired_is_ignored() {
     let grace = ShortestGrace::new(at(1000), Duration::from_secs(8));
     grace.update(at(4000), Duration::from_secs(3));
     assert_eq!(grace.deadline(), at(8600));
--- a/crates/onyxstile-system/src/role/shutdown.rs
+++ b/crates/onyxstile-system/src/role/shutdown.rs
@@ -1,14 +1,14 @@
-//! The orderly end of a role's work: nothing new is begun once it has been told to end, and it has ended once all that was
-//! begun has.
+//! Graceful shutdown of a role: no new work is accepted once it has begun, and it is complete once all open work has
+//! ended.
 //!
-//! Both are states that whoever asks later finds as well, not notices for those who wait at that moment.
+//! Both are persistent states rather than events: a waiter that arrives later sees them as well.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use tokio::sync::Notify;
 
-/// How far the end is.
+/// State of a shutdown.
 #[derive(Default)]
 pub struct Shutdown {
     is_begun: Cell<bool>,
@@ -18,47 +18,47 @@
 }
 
 impl Shutdown {
-    /// From now on nothing new is begun.
+    /// Begins the shutdown: no new work may be accepted from now on.
     pub fn begin(&self) {
         self.is_begun.set(true);
         self.begin_notify.notify_waiters();
         self.end_notify.notify_waiters();
     }
 
-    /// Whether it has begun.
+    /// Whether the shutdown has begun.
     pub fn is_begun(&self) -> bool {
         self.is_begun.get()
     }
 
-    /// Whether it has begun and nothing is open that was begun before.
+    /// Whether the shutdown has begun and no work is open.
     pub fn is_ended(&self) -> bool {
         self.is_begun() && self.open() == 0
     }
 
-    /// Returns once it has begun, at once if that was before.
+    /// Waits until the shutdown has begun; returns at once if it has.
     pub async fn begun(&self) {
         wait_until(&self.begin_notify, || self.is_begun()).await;
     }
 
-    /// Returns once it has ended, at once if that was before.
+    /// Waits until the shutdown is complete; returns at once if it is.
     pub async fn ended(&self) {
         wait_until(&self.end_notify, || self.is_ended()).await;
     }
 
-    /// Work that is open, in pieces.
+    /// Number of open work items.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Begins a piece of work.
+    /// Registers a work item, which is open until the guard is dropped.
     pub fn enter(self: &Rc<Shutdown>) -> WorkGuard {
         self.open.set(self.open() + 1);
         WorkGuard(self.clone())
     }
 }
 
-/// Waits for a state of which `notify` tells those who wait. It is looked at after the wait has begun: between the two no notice
-/// can pass unheard.
+/// Waits for a condition whose changes `notify` signals. The condition is checked after the waiter is registered, so that
+/// no notification is missed.
 async fn wait_until(notify: &Notify, condition: impl Fn() -> bool) {
     loop {
         let notified = notify.notified();
@@ -69,7 +69,7 @@
     }
 }
 
-/// A piece of work; the end waits for as long as it lives.
+/// Guard of an open work item; the shutdown completes only after it is dropped.
 pub struct WorkGuard(Rc<Shutdown>);
 
 impl Drop for WorkGuard {
--- a/crates/onyxstile-system/src/role/signals.rs
+++ b/crates/onyxstile-system/src/role/signals.rs
@@ -1,4 +1,4 @@
-//! Signals of the platform, and settings files that change without one.
+//! Process signals, and reloading of the settings file, which may also change without a signal.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -8,10 +8,10 @@
 
 use crate::settings::Settings;
 
-/// How often the settings file is read again; it may change without a signal.
+/// Interval at which the settings file is read again; it may change without a signal.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The platform's signals to one process.
+/// Signals of this process.
 pub struct Signals {
     /// SIGTERM.
     pub termination: Termination,
@@ -20,8 +20,8 @@
 }
 
 impl Signals {
-    /// Begins to listen. Until then either signal ends the process by the system's default, so this is the first thing that a
-    /// process does: before its command line, its log and its settings are read.
+    /// Installs the signal handlers. Until then both signals terminate the process by default, so a process calls this
+    /// first: before it reads its command line, sets up logging or reads its settings.
     pub fn listen() -> Signals {
         Signals {
             termination: Termination(register(SignalKind::terminate(), "SIGTERM")),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Waits for either; for what has no orderly end.
+    /// Waits for either signal; for processes without a graceful shutdown.
     pub async fn wait_any(mut self) {
         tokio::select! {
             () = self.termination.received() => {}
@@ -38,11 +38,11 @@
     }
 }
 
-/// SIGTERM: one that comes before anybody waits is not missed, and a second changes nothing.
+/// SIGTERM. A signal that arrives before the wait is not lost, and a second one has no effect.
 pub struct Termination(Option<Signal>);
 
 impl Termination {
-    /// Waits for it.
+    /// Waits for SIGTERM.
     pub async fn received(self) {
         match self.0 {
             Some(mut signal) => {
@@ -53,11 +53,11 @@
     }
 }
 
-/// SIGHUP: some that come while nobody waits are heard as one.
+/// SIGHUP. Signals that arrive while nothing waits are merged into one.
 pub struct Hangups(Option<Signal>);
 
 impl Hangups {
-    /// Waits for the next.
+    /// Waits for the next SIGHUP.
     async fn next(&mut self) {
         match &mut self.0 {
             Some(signal) => {
@@ -69,17 +69,18 @@
 }
 
 fn register(kind: SignalKind, name: &str) -> Option<Signal> {
-    // There is no log yet.
-    signal(kind).inspect_err(|error| eprintln!("{name} can't be heard: {error}")).ok()
+    // Logging is not set up yet.
+    signal(kind).inspect_err(|error| eprintln!("cannot install the handler for {name}: {error}")).ok()
 }
 
-/// Calls `changed` with the settings after each SIGHUP and now and then; a file that can't be read changes nothing.
+/// Reloads the settings after each SIGHUP and at a regular interval, and calls `changed` with them. A file that cannot be
+/// read changes nothing.
 pub async fn reload_settings(
     mut hangups: Hangups, settings: Rc<RefCell<Settings>>, changed: impl Fn(&Settings),
 ) {
     loop {
         tokio::select! {
-            () = hangups.next() => log::info!("SIGHUP: reading the settings again"),
+            () = hangups.next() => log::info!("SIGHUP: reloading the settings"),
             () = tokio::time::sleep(RELOAD_INTERVAL) => {}
         }
         match Settings::from_environment() {
@@ -87,7 +88,7 @@
                 changed(&fresh);
                 *settings.borrow_mut() = fresh;
             }
-            Err(error) => log::warn!("{error}; the settings stay as they are"),
+            Err(error) => log::warn!("{error}; keeping the current settings"),
         }
     }
 }
--- a/crates/onyxstile-system/src/role/socket.rs
+++ b/crates/onyxstile-system/src/role/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets as every role sets them up.
+//! Socket setup shared by all roles.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -9,19 +9,20 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Connections that wait to be taken up; a full queue drops opening packets, which come again after seconds.
+/// Length of the accept queue. If it is full, SYN packets are dropped and sent again only after seconds.
 pub const BACKLOG: i32 = 1024;
-/// Bytes that nobody acknowledges for this long end a connection between machines: one without power says nothing.
+/// A connection between machines ends if data stays unacknowledged for this long: a machine that lost power sends no
+/// reset.
 const PEER_ACK_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The same for a client. The system counts the time in which a client reads nothing and its window is shut as well, so this is no
-/// less than what a request without a deadline of its own may take.
+/// The same for a client connection. The operating system also counts the time in which the client reads nothing and its
+/// window is closed, so this must not be less than the longest duration of a request without a deadline.
 const CLIENT_ACK_TIMEOUT: Duration = Duration::from_secs(30);
-/// While a machine says nothing a further attempt to connect is made after this time.
+/// Interval between further connection attempts while a machine does not respond.
 const ATTEMPT_INTERVAL: Duration = Duration::from_millis(75);
-/// A connection at rest is probed after this time.
+/// Idle time before the first keepalive probe.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(5);
 
-/// Listens at an address, also right after another process did.
+/// Listens at an address, also right after another process has used it.
 pub fn listen(address: SocketAddrV4) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -31,7 +32,7 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Connects within `patience`.
+/// Connects within `timeout`.
 pub async fn connect(address: SocketAddrV4, timeout: Duration) -> io::Result<TcpStream> {
     let stream = tokio::time::timeout(timeout, TcpStream::connect(address))
         .await
@@ -40,8 +41,8 @@
     Ok(stream)
 }
 
-/// The same to a machine that may be without power and about to return: an opening packet that met one, or a full queue, is
-/// sent again by the system after a second only, so further attempts are made beside the first.
+/// Connects to a machine that may have lost power and may be about to return. The operating system resends a SYN that met
+/// a machine without power or a full accept queue only after 1 s, so further attempts are made in parallel to the first.
 pub async fn connect_with_retries(address: SocketAddrV4, timeout: Duration) -> io::Result<TcpStream> {
     let mut attempts = JoinSet::new();
     let deadline = Instant::now() + timeout;
@@ -58,17 +59,17 @@
     }
 }
 
-/// Sets what a connection between machines needs.
+/// Sets the options of a connection between machines.
 pub fn prepare_peer(stream: &TcpStream) {
     prepare(stream, PEER_ACK_TIMEOUT);
 }
 
-/// Sets what a client's connection needs.
+/// Sets the options of a client connection.
 pub fn prepare_client(stream: &TcpStream) {
     prepare(stream, CLIENT_ACK_TIMEOUT);
 }
 
-/// Where the platform lacks an option, its default stays.
+/// Sets the options; one that the platform does not support keeps its default.
 fn prepare(stream: &TcpStream, ack_timeout: Duration) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("TCP_NODELAY: {error}");
--- a/crates/onyxstile-system/src/role/status.rs
+++ b/crates/onyxstile-system/src/role/status.rs
@@ -1,4 +1,4 @@
-//! The operator's question to one machine.
+//! Status request of an operator to one machine.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -8,17 +8,17 @@
 use super::rpc::Client;
 use crate::wire::{Request, Response};
 
-/// How long the machine has to answer.
+/// Response timeout.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Asks a controller or a storage machine what it knows, and prints its lines.
+/// Requests the status of a controller or a storage machine and prints its lines.
 pub async fn run(address: SocketAddrV4) -> Result<(), RoleError> {
     match Client::default().call(address, &Request::Status, TIMEOUT).await {
         Ok(Response::Status(lines)) => {
             lines.iter().for_each(|line| println!("{line}"));
             Ok(())
         }
-        Ok(_) => Err(RoleError::Io("status", io::Error::other("the machine answered something else"))),
+        Ok(_) => Err(RoleError::Io("status", io::Error::other("unexpected response"))),
         Err(error) => Err(RoleError::Io("status", io::Error::other(error.to_string()))),
     }
 }
--- a/crates/onyxstile-system/src/role/watched_stream.rs
+++ b/crates/onyxstile-system/src/role/watched_stream.rs
@@ -1,4 +1,4 @@
-//! A client's connection: it ends itself when its [`Watch`] is overdue, and its close lingers.
+//! Client connection that ends when its [`ConnectionWatchdog`] is overdue, and that is closed with a lingering close.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -17,10 +17,10 @@
 use crate::clock::SteadyClock;
 use crate::connection_watchdog::{ConnectionTimeouts, ConnectionWatchdog, Overdue};
 
-/// How often a connection on which a request is answered is looked at.
+/// Interval between checks of a connection while a request on it is being answered.
 const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The connection.
+/// Stream of a client connection with its timeouts.
 pub struct WatchedStream {
     stream: TcpStream,
     peer: Option<SocketAddr>,
@@ -29,28 +29,28 @@
     linger: Option<LingeringClose>,
 }
 
-/// The watch over a connection, for whoever answers its requests.
+/// Handle to the watchdog of a connection, for the code that answers its requests.
 #[derive(Clone)]
 pub struct WatchHandle {
     clock: SteadyClock,
     watchdog: Rc<RefCell<ConnectionWatchdog>>,
-    /// Bytes of an answer wait for the client to read.
+    /// Whether response bytes are waiting for the client to read.
     has_unsent_bytes: Rc<Cell<bool>>,
 }
 
-/// A request that is being answered, for as long as this lives.
+/// Guard of a request that is being answered; the answer ends when it is dropped.
 pub struct RequestGuard {
     handle: WatchHandle,
 }
 
 impl WatchHandle {
-    /// A request's head has ended.
+    /// Records that the head of a request is complete.
     pub fn request(&self) -> RequestGuard {
         self.watchdog.borrow_mut().request(self.clock.now());
         RequestGuard { handle: self.clone() }
     }
 
-    /// Whether nothing is due on the connection: no answer is made, none leaves, and no head has begun.
+    /// Whether the connection is idle: no response is being produced or sent, and no request head has begun.
     pub fn is_idle(&self) -> bool {
         self.watchdog.borrow().is_idle() && !self.has_unsent_bytes.get()
     }
@@ -63,7 +63,7 @@
 }
 
 impl WatchedStream {
-    /// Begins to watch a connection that has just come.
+    /// Starts to watch a new connection.
     pub fn new(
         stream: TcpStream, clock: SteadyClock, timeouts: ConnectionTimeouts,
     ) -> (WatchedStream, WatchHandle) {
@@ -74,7 +74,8 @@
         (WatchedStream { stream, peer, handle: handle.clone(), sleep, linger: None }, handle)
     }
 
-    /// Ready once the connection is overdue. It reads as ended by the client then, so that its close is one in order.
+    /// Ready once the connection is overdue. The read side then reports the end of input, so that the connection is
+    /// closed in the regular way.
     fn poll_overdue(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         loop {
             let left = match self.handle.watchdog.borrow().deadline() {
@@ -86,7 +87,7 @@
                     }
                     left
                 }
-                // The answer's end wakes nobody here: it is looked for now and then.
+                // The end of a response does not wake this task, so it is polled.
                 None => CHECK_INTERVAL,
             };
             self.sleep.as_mut().reset(Instant::now() + left);
@@ -98,24 +99,24 @@
 
     fn log_overdue(&self, why: Overdue) {
         match why {
-            Overdue::Head => log::info!("client {}: the head of a request did not end in time", self.peer()),
-            Overdue::Idle => log::debug!("client {}: the connection has rested too long", self.peer()),
+            Overdue::Head => log::info!("client {}: request head not complete within the timeout", self.peer()),
+            Overdue::Idle => log::debug!("client {}: idle timeout expired", self.peer()),
         }
     }
 
-    /// The client, for the log.
+    /// Address of the client for log messages.
     fn peer(&self) -> String {
         self.peer.map_or_else(|| "unknown".to_owned(), |peer| peer.to_string())
     }
 
-    /// Notes how many of some bytes of an answer have left.
+    /// Records how many of `length` response bytes were sent.
     fn record_sent(&self, sent: &Poll<io::Result<usize>>, length: usize) {
         let mut watchdog = self.handle.watchdog.borrow_mut();
-        // Events of a stream leave all the time; while it lasts nothing is timed.
+        // Streams send events often, and no timeout runs while they last.
         if matches!(sent, Poll::Ready(Ok(1..))) && watchdog.deadline().is_some() {
             watchdog.sent(self.handle.clock.now());
         }
-        // What did not leave at once is written again; the last of it leaves whole.
+        // Unsent bytes are written again; the last write is complete.
         let has_unsent_bytes = match sent {
             Poll::Ready(Ok(count)) => *count < length,
             Poll::Ready(Err(_)) => false,
@@ -168,7 +169,7 @@
         Pin::new(&mut self.get_mut().stream).poll_flush(cx)
     }
 
-    /// The shutdown is over once the close has lingered: whoever waits for the connection's end waits for the client's too.
+    /// Completes after the lingering close, so that waiting for the end of the connection includes the client's close.
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         if this.linger.is_none() {
@@ -179,7 +180,7 @@
         ready!(linger.poll(&mut this.stream, this.sleep.as_mut(), cx));
         let discarded = linger.discarded();
         if discarded > 0 {
-            log::info!("client {}: {discarded} bytes came behind the last answer", this.peer());
+            log::info!("client {}: discarded {discarded} bytes received after the last response", this.peer());
         }
         Poll::Ready(Ok(()))
     }
