--- a/crates/onyxstile-system/src/role/controller.rs
+++ b/crates/onyxstile-system/src/role/controller.rs
@@ -1,4 +1,4 @@
-//! The controller role: the state machine's disk, clock and peers, the registry, and the operator's API.
+//! The controller role: disk, clock and peers of the state machine, the registry, and the operator API.
 
 mod api;
 mod effects;
@@ -40,18 +40,18 @@
 use recovery::open_record;
 use registry_store::RegistryStore;
 
-/// What it takes to send a first message to the other controllers; nothing depends on it.
+/// Time for sending a first message to the other controllers; nothing depends on it.
 const ANNOUNCE_PAUSE: Duration = Duration::from_millis(4);
 
 quick_error! {
-    /// Why a role can't run.
+    /// Reason why a role cannot run.
     #[derive(Debug)]
     pub enum RoleError {
-        /// A socket or a file.
+        /// Error of a socket or a file.
         Io(what: &'static str, error: io::Error) {
             display("{}: {}", what, error)
         }
-        /// The settings lack something that the role needs.
+        /// The settings lack a field that the role needs.
         Settings(field: &'static str) {
             display("the settings lack {}", field)
         }
@@ -66,7 +66,7 @@
     }
 }
 
-/// One controller process.
+/// Controller process: the state machine with its disk, peers and registry.
 pub struct ControllerServer {
     settings: Rc<RefCell<Settings>>,
     clock: SteadyClock,
@@ -85,7 +85,7 @@
     relays: RefCell<Relays>,
     evidence: RefCell<EvidencePool>,
     is_planning: Cell<bool>,
-    /// How long after its start it was sure of what it holds for the first time.
+    /// Time from the start until the controller was settled for the first time.
     settled_after: Cell<Option<Duration>>,
 }
 
@@ -104,16 +104,17 @@
         .await
         .map_err(|error| ("membership port", error))?;
     let server = Rc::new(ControllerServer::new(settings, clock, durable, swim, record, registry_store));
-    log::info!("{} endpoints were registered before, whole {}", stored.instances.len(), stored.is_complete);
+    log::info!("loaded {} registered endpoints, complete: {}", stored.instances.len(), stored.is_complete);
     server.registry.borrow_mut().restore(clock.now(), stored.instances);
-    // At the first start of the whole system there is nothing to be copied.
+    // At the first start of the whole system there is nothing to copy.
     let is_first_start = server.settings.borrow().bootstrap;
     *server.drain_sync.borrow_mut() = DrainSync::new(stored.is_complete || is_first_start);
     if is_first_start && !stored.is_complete {
-        // So that a kill of all controllers before the first endpoint leaves none that knows it.
+        // Otherwise, if all controllers were killed before the first endpoint registers, none would know that its
+        // registry is complete.
         drop(server.registry_store.write(&server.registry.borrow(), true));
     }
-    log::info!("controller {} listens at {control}", server.settings.borrow().node_name);
+    log::info!("controller {} is listening at {control}", server.settings.borrow().node_name);
     server.announce().await;
     let (rpc_server, api_server, metrics_server) = (server.clone(), server.clone(), server.clone());
     let shutdown: Rc<Shutdown> = Rc::default();
@@ -126,20 +127,20 @@
         () = signals::reload_settings(hangups, server.settings.clone(), |fresh| {
             server.swim.borrow_mut().set_seeds(fresh.seed_addresses());
         }) => {}
-        () = end(&server, termination, &shutdown) => log::info!("the controller ends"),
+        () = end(&server, termination, &shutdown) => log::info!("the controller is shutting down"),
     }
     Ok(())
 }
 
-/// Waits for SIGTERM; then takes no more calls of operators and endpoints, and goes on until those that came are answered: whoever
-/// asked for a change would not know whether it was made.
+/// Waits for SIGTERM, then accepts no more calls of operators and endpoints and keeps running until the open ones are
+/// answered: a caller that requested a change would otherwise not know whether it was made.
 async fn end(server: &ControllerServer, termination: Termination, shutdown: &Shutdown) {
     termination.received().await;
-    log::info!("SIGTERM: {} pieces of work at the API are open", shutdown.open());
+    log::info!("SIGTERM: {} API requests are open", shutdown.open());
     shutdown.begin();
     let grace = ShortestGrace::new(server.clock.now(), server.settings.borrow().grace());
     if !grace.wait_for_shutdown(shutdown, &server.settings, server.clock).await {
-        log::warn!("the kill is near: {} pieces of work at the API are open", shutdown.open());
+        log::warn!("the grace period is about to expire: {} API requests are open", shutdown.open());
     }
 }
 
@@ -175,8 +176,8 @@
         }
     }
 
-    /// Tells the other controllers how far this one is before it takes anything up: after a loss of power some hundred
-    /// connections wait at each, and relays wait for what controllers tell each other.
+    /// Sends the progress of this controller to the others before it accepts connections: after a power loss some hundred
+    /// connections are queued at each controller, and relays wait for the exchange between controllers.
     async fn announce(&self) {
         self.step(Input::Tick);
         tokio::time::sleep(ANNOUNCE_PAUSE).await;
--- a/crates/onyxstile-system/src/role/controller/api.rs
+++ b/crates/onyxstile-system/src/role/controller/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP API for endpoints and the operator.
+//! HTTP API for endpoints and operators.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -15,9 +15,9 @@
 
 /// Most bytes of a configuration.
 const CONFIGURATION_MAX: usize = 8 * 1024 * 1024;
-/// Most bytes of any other body.
+/// Maximum size of any other body in bytes.
 const BODY_MAX: usize = 64 * 1024;
-/// How long a body may take.
+/// Timeout for reading a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Answers one request.
@@ -25,7 +25,7 @@
     let path = request.uri().path().to_owned();
     let method = request.method().clone();
     if let Some(id) = path.strip_prefix("/api/instances/") {
-        // Relays ask electors only for endpoints.
+        // Relays request endpoints from electors only.
         if let Some(elector) = server.elector_to_ask() {
             return redirect(elector, &path);
         }
@@ -65,7 +65,7 @@
         server.changed.notify_waiters();
     }
     if is_leaving && !server.replicate(&instance).await {
-        return text(StatusCode::SERVICE_UNAVAILABLE, "too few controllers hold it");
+        return text(StatusCode::SERVICE_UNAVAILABLE, "too few controllers have stored the change");
     }
     json(StatusCode::OK, "{}")
 }
@@ -90,7 +90,7 @@
     }
 }
 
-/// Sends a caller on to another controller.
+/// Redirects a caller to another controller.
 fn redirect(to: SocketAddrV4, path: &str) -> Answer {
     let mut answer = text(StatusCode::TEMPORARY_REDIRECT, "");
     if let Ok(location) = HeaderValue::from_str(&format!("http://{to}{path}")) {
@@ -101,26 +101,26 @@
 
 fn refuse_body(error: BodyError) -> Answer {
     match error {
-        BodyError::TooLong => text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"),
-        BodyError::Broken => text(StatusCode::BAD_REQUEST, "the body ended early"),
-        BodyError::TooSlow => text(StatusCode::REQUEST_TIMEOUT, "the body did not end in time"),
+        BodyError::TooLong => text(StatusCode::PAYLOAD_TOO_LARGE, "body exceeds the size limit"),
+        BodyError::Broken => text(StatusCode::BAD_REQUEST, "body ended early"),
+        BodyError::TooSlow => text(StatusCode::REQUEST_TIMEOUT, "body not complete within the timeout"),
     }
 }
 
-/// The HTTP answer to an outcome.
+/// HTTP response to an outcome.
 fn outcome_response(outcome: Outcome) -> Answer {
     match outcome {
         Outcome::Done => json(StatusCode::OK, "{}"),
         Outcome::Configuration(Some(configuration)) => json(StatusCode::OK, configuration.body.clone()),
-        Outcome::Configuration(None) => text(StatusCode::NOT_FOUND, "there is no configuration yet"),
+        Outcome::Configuration(None) => text(StatusCode::NOT_FOUND, "no configuration has been set"),
         Outcome::Retirement(true) => json(StatusCode::OK, r#"{"state":"completed"}"#),
         Outcome::Retirement(false) => json(StatusCode::OK, r#"{"state":"in_progress"}"#),
         Outcome::Conflict(current) => {
-            text(StatusCode::PRECONDITION_FAILED, format!("version {current} is current"))
+            text(StatusCode::PRECONDITION_FAILED, format!("the current version is {current}"))
         }
         Outcome::Invalid(reason) => text(StatusCode::BAD_REQUEST, reason),
         Outcome::NotFound => text(StatusCode::NOT_FOUND, ""),
-        Outcome::TooFew => text(StatusCode::CONFLICT, "too few storage machines would be left"),
-        Outcome::Unknown => text(StatusCode::SERVICE_UNAVAILABLE, "the fate is not known; send it again"),
+        Outcome::TooFew => text(StatusCode::CONFLICT, "too few storage machines would remain"),
+        Outcome::Unknown => text(StatusCode::SERVICE_UNAVAILABLE, "outcome unknown; retry the request"),
     }
 }
--- a/crates/onyxstile-system/src/role/controller/effects.rs
+++ b/crates/onyxstile-system/src/role/controller/effects.rs
@@ -1,4 +1,4 @@
-//! Effects of the state machine, carried out in their order; the disk may refuse for a while.
+//! Executes the effects of the state machine in order; the disk may refuse writes for a while.
 
 use std::io;
 use std::rc::Rc;
@@ -9,11 +9,11 @@
 use crate::control::Durable;
 use crate::controller::Effect;
 
-/// A write that the disk refused is tried again after this time.
+/// Interval between retries of a write that the disk refused.
 const DISK_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 impl ControllerServer {
-    /// Writes what the disk refused before; false as long as there is such.
+    /// Retries a write that the disk refused; false while it is still refused.
     pub(super) fn retry_disk(&self, now: Instant) -> bool {
         let mut unwritten = self.unwritten.borrow_mut();
         let Some((durable, last_attempt)) = unwritten.as_mut() else { return true };
@@ -28,7 +28,7 @@
         is_saved
     }
 
-    /// Carries one effect out; false if the disk refused it, and then nothing after it may be done.
+    /// Executes one effect; false if the disk refused it, and then no later effect may be executed.
     pub(super) fn execute(&self, now: Instant, effect: Effect) -> bool {
         match effect {
             Effect::Persist(durable) => {
@@ -37,13 +37,13 @@
             }
             Effect::Append { view, write } => {
                 let result = self.record.borrow_mut().append(view, &write);
-                // The whole of what this machine has come to goes in its place.
+                // The complete durable state is written instead.
                 return self.note_write_result(now, result, |server| server.durable());
             }
             Effect::Send { to, message } => self.send(to, message),
             Effect::Reply { number, outcome } => {
                 if let Some(reply) = self.replies.borrow_mut().remove(&number) {
-                    // Whoever asked may have gone.
+                    // The caller may have timed out.
                     reply.send(outcome).ok();
                 }
             }
@@ -51,13 +51,13 @@
         true
     }
 
-    /// Whether the disk took a write; if it refused, `whole` is tried again until it does.
+    /// Returns whether a write succeeded; if not, `full_record` is retried until it does.
     fn note_write_result(
         &self, now: Instant, result: io::Result<()>,
         full_record: impl FnOnce(&ControllerServer) -> Rc<Durable>,
     ) -> bool {
         if let Err(error) = &result {
-            log::error!("the disk refuses a write: {error}");
+            log::error!("the disk refused a write: {error}");
             *self.unwritten.borrow_mut() = Some((full_record(self), now));
         }
         result.is_ok()
@@ -67,7 +67,7 @@
         Rc::new(self.controller.borrow().durable().clone())
     }
 
-    /// Folds writes into a snapshot where there are enough of them.
+    /// Folds the written records into a snapshot if enough of them have accumulated.
     pub(super) fn snapshot_if_due(&self, now: Instant) {
         if self.record.borrow().is_snapshot_due() {
             let durable = self.durable();
--- a/crates/onyxstile-system/src/role/controller/metric_values.rs
+++ b/crates/onyxstile-system/src/role/controller/metric_values.rs
@@ -1,10 +1,10 @@
-//! What a controller tells of itself in figures.
+//! Metrics of a controller.
 
 use super::ControllerServer;
 use crate::metrics::Metrics;
 
 impl ControllerServer {
-    /// The figures of this moment.
+    /// Current metric values.
     pub(super) fn metrics(&self) -> Metrics {
         let mut metrics = Metrics::default();
         self.add_view_metrics(&mut metrics);
@@ -25,26 +25,30 @@
         let electors = view.map_or(0, |view| view.electors.len());
         metrics.gauge("electors", "Core machines that vote on views.", electors as f64);
         let chain = view.map_or(0, |view| view.chain.len());
-        metrics.gauge("chain_members", "Core machines that hold every write.", chain as f64);
-        metrics.flag("head", "Whether this controller takes writes.", controller.is_head());
+        metrics.gauge("chain_members", "Core machines that store every write.", chain as f64);
+        metrics.flag("head", "Whether this controller accepts writes.", controller.is_head());
         let pending = controller.waiting_writes();
-        metrics.gauge("writes_waiting", "Writes that wait here or are under way.", pending as f64);
-        metrics.flag("disk_refuses", "Whether the disk refuses a write.", self.unwritten.borrow().is_some());
+        metrics.gauge("writes_waiting", "Writes that are queued here or in progress.", pending as f64);
+        metrics.flag("disk_refuses", "Whether the disk refuses writes.", self.unwritten.borrow().is_some());
     }
 
     fn add_state_metrics(&self, metrics: &mut Metrics) {
         let controller = self.controller.borrow();
-        metrics.flag("sure", "Whether relays count on what this controller holds.", self.is_settled());
-        let help = "Time from the start until it was sure first; -1 before.";
+        metrics.flag(
+            "sure",
+            "Whether this controller is settled, so that relays rely on its data.",
+            self.is_settled(),
+        );
+        let help = "Time from the start until it was first settled; -1 before.";
         metrics.time_taken("sure_after_seconds", help, self.settled_after.get());
         let Some(state) = controller.committed_state() else { return };
-        metrics.gauge("sequence", "Number of the newest write that is told.", state.sequence as f64);
-        metrics.gauge("revision", "Revision of the configuration that is told.", state.revision() as f64);
+        metrics.gauge("sequence", "Number of the newest published write.", state.sequence as f64);
+        metrics.gauge("revision", "Revision of the published configuration.", state.revision() as f64);
         metrics.gauge("storage_epoch", "Number of the storage plan.", state.storage.epoch as f64);
         let is_changing = state.storage.is_changing();
         metrics.flag(
             "storage_changing",
-            "Whether storage machines copy for a change of the plan.",
+            "Whether storage machines are copying data for a change of the plan.",
             is_changing,
         );
     }
@@ -57,16 +61,11 @@
             .into_iter()
             .map(|(kind, count)| (kind.to_owned(), count as f64))
             .collect();
-        metrics.gauges(
-            "endpoints",
-            "Endpoints that this controller knows, by how far they are.",
-            "stage",
-            &counts,
-        );
+        metrics.gauges("endpoints", "Endpoints that this controller knows, by stage.", "stage", &counts);
         let suspects = self.evidence.borrow().suspects(self.clock.now()).len();
         metrics.gauge(
             "suspects",
-            "Endpoints that fail calls by what relays tell this controller.",
+            "Endpoints that fail calls according to the reports of relays.",
             suspects as f64,
         );
     }
@@ -77,10 +76,10 @@
         let relay_count = relays.count(self.clock.now()).unwrap_or(0);
         metrics.gauge(
             "relays",
-            "Relays that asked in the last 5 s; 0 in the first 5 s.",
+            "Relays that polled in the last 5 s; 0 in the first 5 s.",
             f64::from(relay_count),
         );
         let behind = relays.behind(revision);
-        metrics.gauge("relays_behind", "Relays that have an older configuration in force.", behind as f64);
+        metrics.gauge("relays_behind", "Relays that use an older configuration.", behind as f64);
     }
 }
--- a/crates/onyxstile-system/src/role/controller/planner.rs
+++ b/crates/onyxstile-system/src/role/controller/planner.rs
@@ -1,5 +1,5 @@
-//! The head's part in the storage plan: what it sees of storage machines, and the plan that should follow. The head is
-//! the first live controller in the agreed order; its writes are fenced by the view's number.
+//! Storage planning by the head: its observations of storage machines and the next plan. The head is the first live
+//! controller in the agreed order; its writes are fenced by the view number.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 use crate::storage_plan::{Observed, StorageNode, StoragePlan};
 use crate::swim::{Class, MemberState};
 
-/// A report of a storage machine counts for this long.
+/// Lifetime of the report of a storage machine.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
-/// The first plan is not made before this time: machines start within some tenths of a second of each other.
+/// Earliest time of the first plan after the start: machines start within some tenths of a second of each other.
 const FIRST_PLAN_AFTER: Duration = Duration::from_millis(700);
-/// After this time a first plan is made of fewer machines than bear all losses that should be borne.
+/// After this time the first plan may consist of fewer machines than are needed to tolerate all losses.
 const REDUCED_PLAN_AFTER: Duration = Duration::from_secs(4);
 
 impl ControllerServer {
-    /// Writes the next storage plan where one is due.
+    /// Writes the next storage plan if one is due.
     pub(super) fn plan(self: Rc<ControllerServer>) {
         if self.is_planning.get() {
             return;
@@ -51,7 +51,7 @@
         });
     }
 
-    /// Members of the storage plan that membership holds dead or does not know; only the head has to know them.
+    /// Members of the storage plan that the membership considers dead or does not know; only the head needs them.
     pub(super) fn dead_storage(&self) -> Vec<String> {
         let controller = self.controller.borrow();
         let Some(state) = controller.committed_state().filter(|_| controller.is_head()) else {
--- a/crates/onyxstile-system/src/role/controller/recovery.rs
+++ b/crates/onyxstile-system/src/role/controller/recovery.rs
@@ -1,4 +1,4 @@
-//! What a controller finds on its disk at its start.
+//! Recovery of the durable records of a controller at its start.
 
 use std::io;
 use std::path::Path;
@@ -9,14 +9,14 @@
 use crate::role::identity::random_id;
 use crate::settings::Settings;
 
-/// Opens a record; one that can't be read is discarded and opened anew, as if the disk had been empty. The second says
-/// whether that was so.
+/// Opens a record. One that cannot be read is discarded and opened again, as if the disk had been empty; the second value
+/// is whether that happened.
 pub(super) fn open_or_discard<T>(
     open: impl Fn() -> io::Result<T>, discard: impl FnOnce() -> io::Result<()>,
 ) -> io::Result<(T, bool)> {
     match open() {
         Err(error) if error.kind() == io::ErrorKind::InvalidData => {
-            log::error!("{error}: this counts as lost");
+            log::error!("{error}: treating the record as lost");
             discard()?;
             Ok((open()?, true))
         }
@@ -24,7 +24,8 @@
     }
 }
 
-/// What the disk holds. A record that can't be read counts as a lost disk: its votes are forgotten, so it is another elector.
+/// Opens the control record. One that cannot be read counts as a lost disk: its votes are lost, so the machine becomes
+/// another elector.
 pub(super) fn open_record(
     settings: &Settings, data: &Path,
 ) -> io::Result<(ControlRecord<RealFolder>, Durable)> {
--- a/crates/onyxstile-system/src/role/controller/registry_store.rs
+++ b/crates/onyxstile-system/src/role/controller/registry_store.rs
@@ -1,8 +1,9 @@
-//! The registry on disk, so that endpoints are known right after all controllers have lost power, and drains outlast it.
+//! Stores the registry on disk, so that endpoints are known right after a power loss of all controllers, and drains
+//! survive it.
 //!
-//! Written by a thread of its own. Most changes are soft and are written shortly after, together: what a loss of power takes
-//! of the last moment comes again with the next heartbeats, and a call to an endpoint that has gone meanwhile is refused by
-//! whoever has its address (`Expect-Instance`). A drain is written before it is acknowledged.
+//! A separate thread writes it. Most changes are soft and are written together shortly afterwards: changes lost in a
+//! power failure arrive again with the next heartbeats, and a call to an endpoint that has left meanwhile is refused by
+//! the current owner of its address (`Expect-Instance`). A drain is written before it is acknowledged.
 
 use std::cell::Cell;
 use std::io;
@@ -19,24 +20,24 @@
 use crate::disk::{self, RealFolder, Versions};
 use crate::registry::{Instance, Registry};
 
-/// The name of the record.
+/// Name of the record.
 const RECORD: &str = "registry";
 /// Changes within this time are written together.
 const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the record holds.
+/// Content of the record.
 #[derive(Debug, Default, BorshSerialize, BorshDeserialize)]
 pub(super) struct StoredRegistry {
     /// Whether the controller held every acknowledged drain.
     pub is_complete: bool,
-    /// All endpoints that it knew.
+    /// All endpoints that the controller knew.
     pub instances: Vec<Instance>,
 }
 
-/// What waits to be written. A newer record takes the place of an older one, all of which it holds.
+/// Pending write. A newer record replaces an older one, whose content it includes.
 #[derive(Default)]
 struct PendingWrite {
-    /// The record, and the registry's newest change in it.
+    /// The record and the newest registry change in it.
     record: Option<(Vec<u8>, u64)>,
     answers: Vec<oneshot::Sender<bool>>,
 }
@@ -47,12 +48,12 @@
     has_work: Condvar,
     is_busy: AtomicBool,
     has_failed: AtomicBool,
-    /// The registry's newest change that is on the disk.
+    /// Newest registry change that is on the disk.
     written: AtomicU64,
 }
 
 impl Shared {
-    /// A thread that panicked while it held the lock has left nothing half done in here.
+    /// A thread that panics while it holds the lock leaves the data consistent, so poisoning is ignored.
     fn pending(&self) -> MutexGuard<'_, PendingWrite> {
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -68,7 +69,7 @@
     }
 }
 
-/// The writing end.
+/// Handle for submitting writes.
 pub(super) struct RegistryStore {
     shared: Arc<Shared>,
     submitted: Cell<u64>,
@@ -76,7 +77,7 @@
 }
 
 impl RegistryStore {
-    /// Opens the record in a folder; returns what it holds as well. One that can't be read counts as lost.
+    /// Opens the record in a folder and returns its content as well. One that cannot be read counts as lost.
     pub(super) fn open(folder: PathBuf) -> io::Result<(RegistryStore, StoredRegistry)> {
         let ((versions, held), _) = open_or_discard(
             || Versions::open(RealFolder::open(folder.clone())?, RECORD),
@@ -84,7 +85,7 @@
         )?;
         let stored = held.map_or_else(StoredRegistry::default, |bytes| {
             disk::decode(&bytes).unwrap_or_else(|error| {
-                log::warn!("the record of endpoints can't be read: {error}");
+                log::warn!("cannot read the registry record: {error}");
                 StoredRegistry::default()
             })
         });
@@ -94,7 +95,7 @@
         Ok((RegistryStore { shared, submitted: Cell::new(0), last_attempt: Cell::default() }, stored))
     }
 
-    /// Has the registry written if it has changed, or if the disk refused it before; while the disk is busy that waits.
+    /// Writes the registry if it has changed or if the last write failed; postponed while the disk is busy.
     pub(super) fn write_if_due(&self, now: Instant, registry: &Registry, is_complete: bool) {
         let is_due = now.since(self.last_attempt.get()) >= WRITE_INTERVAL;
         let has_failed = self.shared.has_failed.load(Ordering::Relaxed);
@@ -106,7 +107,7 @@
         drop(self.write(registry, is_complete));
     }
 
-    /// Has the registry written now unless it is; what comes back is whether it is on the disk.
+    /// Writes the registry now unless it is already written; the receiver yields whether it is on the disk.
     pub(super) fn write_now(&self, registry: &Registry, is_complete: bool) -> oneshot::Receiver<bool> {
         if self.shared.written.load(Ordering::Acquire) >= registry.changes() {
             let (answer, receiver) = oneshot::channel();
@@ -116,7 +117,7 @@
         self.write(registry, is_complete)
     }
 
-    /// Has the registry written, changed or not.
+    /// Writes the registry whether it has changed or not.
     pub(super) fn write(&self, registry: &Registry, is_complete: bool) -> oneshot::Receiver<bool> {
         let (answer, receiver) = oneshot::channel();
         let record = disk::encode(&StoredRegistry { is_complete, instances: registry.records() });
@@ -136,15 +137,15 @@
         let result = versions.write(&record);
         let had_failed = shared.has_failed.swap(result.is_err(), Ordering::Relaxed);
         match &result {
-            Err(error) if !had_failed => log::warn!("the record of endpoints is not written: {error}"),
-            Ok(()) if had_failed => log::info!("the record of endpoints is written again"),
+            Err(error) if !had_failed => log::warn!("cannot write the registry record: {error}"),
+            Ok(()) if had_failed => log::info!("writes of the registry record succeed again"),
             _ => {}
         }
         if result.is_ok() {
             shared.written.store(counter, Ordering::Release);
         }
         for answer in answers {
-            // Nobody waits for what is soft.
+            // Soft changes have no waiting receiver.
             answer.send(result.is_ok()).ok();
         }
         shared.is_busy.store(false, Ordering::Relaxed);
--- a/crates/onyxstile-system/src/role/controller/registry_sync.rs
+++ b/crates/onyxstile-system/src/role/controller/registry_sync.rs
@@ -1,6 +1,6 @@
-//! Endpoints among controllers: each elector pulls the records of all others, so that any majority knows every endpoint, and
-//! each has them on its disk. A drain is on disks before it is acknowledged; one that has lost its disk, or has taken a place
-//! over, holds all drains before relays count it.
+//! Registry synchronisation between controllers: each elector pulls the records of all others, so that any majority knows
+//! every endpoint, and each stores them on its disk. A drain is on disks before it is acknowledged. A controller that has
+//! lost its disk, or has replaced another one, holds all drains before relays count it.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -10,42 +10,42 @@
 use crate::registry::{Instance, RecordUpdate, Stage, replicas_needed};
 use crate::wire::{Request, Response};
 
-/// How long another controller has to take a record to its disk.
+/// Time for another controller to write a record to its disk.
 const REGISTER_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a pull may wait for news.
+/// Longest time for which a pull may wait for updates.
 const WAIT: Duration = Duration::from_millis(1000);
-/// Time beyond the wait that another controller has to answer.
+/// Response timeout of a pull, in addition to its wait.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after a pull that failed.
+/// Delay after a failed pull.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// What stands for the life of a controller that has not answered yet.
+/// Origin of the registry of a controller that has not responded yet.
 const NO_ORIGIN: u64 = 0;
-/// How often the electors are looked at.
+/// Interval between reviews of the electors.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
 
 impl ControllerServer {
-    /// Takes a registry record in and wakes those who wait for news.
+    /// Merges a registry record and wakes requests that wait for updates.
     pub(super) fn merge_record(&self, instance: Instance) {
         if self.registry.borrow_mut().merge(self.clock.now(), instance) {
             self.changed.notify_waiters();
         }
     }
 
-    /// Takes in what another controller tells.
+    /// Merges an update of another controller.
     fn merge_update(&self, update: RecordUpdate) {
         if self.registry.borrow_mut().merge_update(self.clock.now(), update) {
             self.changed.notify_waiters();
         }
     }
 
-    /// Takes a record in for another controller. One of an endpoint that leaves is on the disk before the answer.
+    /// Merges a record for another controller. The record of a leaving endpoint is on the disk before the response.
     pub(super) async fn register(&self, instance: Instance) -> Response {
         let is_leaving = instance.stage != Stage::Ready;
         self.merge_update(RecordUpdate { instance, owner: None });
         if is_leaving && !self.persist_registry().await { Response::Refused } else { Response::Done }
     }
 
-    /// Has a drain on the disks of this controller and of as many others as it takes.
+    /// Stores a drain on this controller and on the required number of others.
     pub(super) async fn replicate(&self, instance: &Instance) -> bool {
         let (is_kept, is_held) = tokio::join!(self.persist_registry(), self.replicate_to_others(instance));
         is_kept && is_held
@@ -67,7 +67,7 @@
             let (to, request) = (self.peer(ip.into()), Request::Register(instance.clone()));
             tokio::task::spawn_local(async move {
                 let result = client.call(to, &request, REGISTER_TIMEOUT).await;
-                // Enough others may have answered before.
+                // The receiver is dropped once enough others have responded.
                 sender.send(matches!(result, Ok(Response::Done))).ok();
             });
         }
@@ -83,7 +83,7 @@
         true
     }
 
-    /// Tells another controller of endpoints.
+    /// Returns the registry changes since `counter` to another controller.
     pub(super) async fn registry_since(&self, origin: u64, counter: u64, wait_ms: u64) -> Response {
         let answer = || {
             let registry = self.registry.borrow();
@@ -101,7 +101,7 @@
         self.wait_for_change(wait_ms, answer, is_update).await
     }
 
-    /// Pulls the records of all other electors, whoever they are.
+    /// Pulls the records of all other current electors.
     pub(super) async fn follow_registries(self: Rc<ControllerServer>) {
         let mut followed: Vec<([u8; 4], tokio::task::JoinHandle<()>)> = Vec::new();
         loop {
@@ -149,8 +149,8 @@
     fn review_drain_sync(&self) {
         let is_update = self.drain_sync.borrow_mut().check_complete(self.own(), &self.electors());
         if is_update {
-            log::info!("holds the drains of the other controllers");
-            // Written in the background; one that is lost is copied again.
+            log::info!("copied the drains of the other controllers");
+            // Written in the background; if the write is lost, the drains are copied again.
             drop(self.registry_store.write(&self.registry.borrow(), true));
             self.changed.notify_waiters();
         }
--- a/crates/onyxstile-system/src/role/controller/requests.rs
+++ b/crates/onyxstile-system/src/role/controller/requests.rs
@@ -1,4 +1,4 @@
-//! What other machines ask a controller.
+//! Requests of other machines to a controller.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -12,12 +12,12 @@
 use crate::swim::MemberState;
 use crate::wire::{PublishedState, PullRequest, PullResponse, Request, Response};
 
-/// For this long after its start a controller that is not sure of what it holds keeps its answers short.
+/// Time after the start in which a controller that is not settled sends minimal responses.
 const STARTING_FOR: Duration = Duration::from_millis(500);
-/// A controller that is not sure of what it holds for this long after its start sends what it has all the same: control is
-/// away for everyone.
+/// A controller that is still not settled this long after its start sends its state nevertheless: the control plane is
+/// down for all.
 const UNSETTLED_MAX: Duration = Duration::from_secs(4);
-/// The longest that an answer waits for news.
+/// Longest time for which a response waits for an update.
 const WAIT_MAX: Duration = Duration::from_secs(5);
 
 impl ControllerServer {
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Where a standby sends endpoints: an elector that membership holds alive. `None` at an elector, or if none is known.
+    /// Address to which a standby redirects endpoints: an elector that the membership considers alive. `None` on an
+    /// elector, or if none is known.
     pub(super) fn elector_to_ask(&self) -> Option<SocketAddrV4> {
         let controller = self.controller.borrow();
         if controller.view().is_none() || controller.is_elector() {
@@ -59,7 +60,7 @@
 
     async fn pull_response(&self, pull: PullRequest) -> PullResponse {
         if !pull.wants_endpoints {
-            // Told also when it is 0: a storage machine that lost its disk takes back what it said before.
+            // Recorded also if it is 0: a storage machine that has lost its disk revokes its earlier report.
             self.sync_reports.borrow_mut().insert(pull.ip, (pull.synced_epoch, self.clock.now()));
         }
         if pull.wants_endpoints {
@@ -69,7 +70,7 @@
         if let Some(evidence) = &pull.evidence {
             self.evidence.borrow_mut().note_report(self.clock.now(), pull.ip, evidence);
         }
-        // Nobody counts on a controller that has just started and is not sure of anything yet, and all are about to ask again.
+        // No machine relies on a controller that has just started and is not settled, and all are about to poll again.
         let is_update =
             |pull_response: &PullResponse| !self.is_starting() && has_update(pull_response, &pull);
         self.wait_for_change(pull.wait_ms, || self.snapshot(&pull), is_update).await
@@ -79,12 +80,12 @@
         self.settled_after.get().is_some()
     }
 
-    /// Whether this controller sends a state to those who ask: not an older one while it may be about to learn of the newest.
+    /// Whether this controller sends a state to pollers: not an older one while it may be about to learn the newest.
     fn may_send_state(&self) -> bool {
         self.was_settled() || self.clock.now().since(Instant::default()) >= UNSETTLED_MAX
     }
 
-    /// The first answer that is news to whoever asked, or the last one before `wait_ms` are over.
+    /// Returns the first answer that is an update for the caller, or the last one before `wait_ms` have passed.
     pub(super) async fn wait_for_change<T>(
         &self, wait_ms: u64, answer: impl Fn() -> T, is_update: impl Fn(&T) -> bool,
     ) -> T {
@@ -134,27 +135,27 @@
         }
     }
 
-    /// Whether relays may count on what this controller holds.
+    /// Whether this controller is settled, so that relays may rely on its data.
     pub(super) fn is_settled(&self) -> bool {
         self.controller.borrow().is_stable() && self.drain_sync.borrow().is_complete()
     }
 
-    /// Notes when it was sure of what it holds for the first time.
+    /// Records the time at which it was first settled.
     pub(super) fn note_settled(&self) {
         if !self.was_settled() && self.is_settled() {
             let after = self.clock.now().since(Instant::default());
-            log::info!("sure of what it holds {} ms after its start", after.as_millis());
+            log::info!("settled {} ms after its start", after.as_millis());
             self.settled_after.set(Some(after));
         }
     }
 
-    /// Whether it has just started and may be sure of what it holds in a moment.
+    /// Whether it has just started and may become settled in a moment.
     fn is_starting(&self) -> bool {
         !self.was_settled() && self.clock.now().since(Instant::default()) < STARTING_FOR
     }
 
-    /// The answer of a controller that has just started: who the electors are, and nothing that costs time, for all machines ask
-    /// at once after a loss of power, and the controllers have to hear each other first.
+    /// Response of a controller that has just started: only the electors and nothing expensive, because all machines poll
+    /// at once after a power loss, and the controllers have to exchange messages first.
     fn startup_response(&self, pull: &PullRequest) -> PullResponse {
         PullResponse {
             view: self.controller.borrow().installed(),
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Lines that tell an operator what this controller knows.
+    /// Status lines for an operator.
     pub(super) fn status(&self) -> Vec<String> {
         let controller = self.controller.borrow();
         let mut lines = vec![format!("node {}", self.settings.borrow().node_name)];
--- a/crates/onyxstile-system/src/role/controller/stepping.rs
+++ b/crates/onyxstile-system/src/role/controller/stepping.rs
@@ -1,4 +1,4 @@
-//! The state machine's inputs: time, what membership sees, and operations.
+//! Inputs of the state machine: time, membership and operations.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -13,13 +13,13 @@
 use crate::tolerance::Location;
 use crate::wire::Request;
 
-/// How often the state machine's clock is looked at.
+/// Interval between ticks of the state machine.
 const TICK: Duration = Duration::from_millis(25);
-/// The operator's callers go on to another machine after a second of silence, so an answer comes before that.
+/// Operator clients go on to another machine after 1 s without a response, so an operation is answered earlier.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(850);
 
 impl ControllerServer {
-    /// Looks at the clock again and again.
+    /// Drives the clock of the state machine.
     pub(super) async fn tick(self: Rc<ControllerServer>) {
         loop {
             self.note_settled();
@@ -49,8 +49,8 @@
             .collect()
     }
 
-    /// Takes one input into the state machine and carries its effects out. While the disk refuses to write, inputs are
-    /// dropped, as if the machine were cut off.
+    /// Passes one input to the state machine and executes its effects. While the disk refuses writes, inputs are dropped,
+    /// as if the machine were cut off.
     pub(super) fn step(&self, input: Input) {
         let now = self.clock.now();
         if !self.retry_disk(now) {
@@ -80,7 +80,7 @@
         self.client.cast(self.peer(to), &Request::Control { from, message });
     }
 
-    /// Hands an operation in and waits for its outcome.
+    /// Submits an operation and waits for its outcome.
     pub(super) async fn operate(&self, operation: Operation) -> Outcome {
         let number = self.last_number.get() + 1;
         self.last_number.set(number);
--- a/crates/onyxstile-system/src/role/subscription.rs
+++ b/crates/onyxstile-system/src/role/subscription.rs
@@ -1,7 +1,8 @@
-//! News from the controllers: one long poll to each, the state itself from one of them.
+//! Subscription to the controllers: one long poll to each, and the state itself from one of them.
 //!
-//! A relay asks all controllers, for one that is cut off may not know the newest state. Only one sends it the state: the
-//! first by rendezvous over the electors, so that a change goes out from all of them alike (`fetch`).
+//! A relay polls all controllers, because one that is cut off may not know the newest state. Only one of them sends it
+//! the state: the first by rendezvous hashing over the electors, so that the transfer of a change is spread evenly over
+//! all of them (`fetch`).
 
 mod fetch;
 mod state;
@@ -20,24 +21,25 @@
 use crate::wire::{PullRequest, PullResponse, Request, Response};
 use state::State;
 
-/// Time beyond the wait that a controller has to answer.
+/// Response timeout of a poll, in addition to its wait.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after a poll that failed, or that a controller answered which is not sure of what it holds.
+/// Delay after a failed poll, or after a response of a controller that is not settled.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// The same as long as no majority has been heard: then all controllers may be about to return.
+/// The same while no majority has responded: all controllers may be about to return.
 const RETRY_DELAY_WITHOUT_MAJORITY: Duration = Duration::from_millis(40);
-/// How often the set of controllers is looked at.
+/// Interval between reviews of the set of controllers.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
-/// Whoever has heard no majority by then goes on with what it has: control is away for everyone.
+/// A subscriber without responses of a majority continues after this time with the state that it has: the control plane
+/// is down for all.
 const FRESH_WITHOUT_MAJORITY_AFTER: Duration = Duration::from_secs(5);
 
-/// What the subscriber wants and tells.
+/// Options of a subscription.
 pub struct SubscriptionOptions {
-    /// For a relay, which wants endpoints: what its calls show of those under suspicion.
+    /// For a relay, which requests endpoints: evidence of its calls about suspected endpoints.
     pub relay_evidence: Option<Rc<RefCell<Vec<Evidence>>>>,
-    /// How long a poll may wait for news.
+    /// Longest time for which a poll may wait for updates.
     pub wait: Duration,
-    /// The storage epoch for which it holds all that is its own; 0 elsewhere.
+    /// Storage epoch for which this machine holds all its records; 0 if it is not a storage machine.
     pub synced_epoch: Rc<Cell<u64>>,
 }
 
@@ -49,7 +51,7 @@
     state: RefCell<State>,
 }
 
-/// Begins to follow the controllers.
+/// Starts following the controllers; returns the receiver of updates.
 pub fn follow(
     settings: Rc<RefCell<Settings>>, client: Client, options: SubscriptionOptions,
 ) -> mpsc::UnboundedReceiver<FeedUpdate> {
@@ -72,13 +74,13 @@
         }
     }
 
-    /// Begins to poll controllers that are not polled yet.
+    /// Starts polling controllers that are not polled yet.
     fn poll_all(self: &Rc<Subscription>) {
         self.start_polling(self.controllers());
     }
 
-    /// The same for as many as have to be heard, and one more: after a loss of power all machines ask at once, and what comes
-    /// first counts.
+    /// The same for a majority of the electors and one more. After a power loss all machines poll at once, and the first
+    /// responses matter.
     fn poll_first(self: &Rc<Subscription>) {
         let own = self.settings.borrow().ip;
         let first = self.state.borrow().first_to_poll(own);
@@ -102,7 +104,7 @@
             return state.seed_to_poll(settings.ip, &seeds).into_iter().collect();
         }
         let mut controllers = state.electors.clone();
-        // Seeds lag; they are asked while too few electors answer.
+        // Seeds may be outdated; they are polled while too few electors respond.
         if !state.has_settled_majority() {
             controllers.extend(seeds);
         }
@@ -125,14 +127,14 @@
                 Ok(_) | Err(_) => self.state.borrow_mut().missed(controller),
             }
             self.state.borrow_mut().note_seed_polled();
-            // One that is not sure of what it holds may answer at once.
+            // A controller that is not settled may respond at once.
             let has_settled = self.state.borrow().settled.contains(&controller);
             if !has_settled {
                 self.delay_retry().await;
             }
         }
         self.state.borrow_mut().stopped(controller);
-        // While no elector is known, the next seed.
+        // While no elector is known, poll the next seed.
         if self.state.borrow().electors.is_empty() {
             self.poll_all();
         }
@@ -144,7 +146,7 @@
             .await;
     }
 
-    /// The next poll of a controller. The first one is answered at once, and tells who the others are.
+    /// Next poll request to a controller. The first one is answered at once and returns the electors.
     fn next_request(&self, controller: Ipv4Addr) -> PullRequest {
         let settings = self.settings.borrow();
         let state = self.state.borrow();
@@ -167,7 +169,7 @@
         }
     }
 
-    /// One controller sums up what relays show, the first in an agreed order: that of addresses, among those heard.
+    /// The evidence of relays is aggregated by one controller: the one with the lowest address among the settled ones.
     fn evidence_for(&self, state: &State, controller: Ipv4Addr) -> Option<Vec<Evidence>> {
         let own = self.options.relay_evidence.as_ref()?;
         let is_first = state.settled.iter().min() == Some(&controller);
@@ -236,7 +238,7 @@
 
     fn send_update(&self, update: FeedUpdate) {
         if self.updates.send(update).is_err() {
-            log::error!("nobody takes news any more");
+            log::error!("the receiver of updates was dropped");
         }
     }
 }
--- a/crates/onyxstile-system/src/role/subscription/fetch.rs
+++ b/crates/onyxstile-system/src/role/subscription/fetch.rs
@@ -1,4 +1,4 @@
-//! The state, where the controller that should send it is late.
+//! Fetching of the state if the controller that should send it is late.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
@@ -7,13 +7,14 @@
 use super::{RESPONSE_TIMEOUT, Subscription};
 use crate::wire::{PullRequest, Request, Response};
 
-/// After the news of a newer state its own source has this long to send it; then another is asked.
+/// Time that the own source has to send a newer state before another controller is polled for it.
 const OWN_SOURCE_DELAY: Duration = Duration::from_millis(100);
-/// The most doublings of the time in which a state has to come: 8 MB over a slow link take seconds.
+/// Maximum number of doublings of the timeout for a state: 8 MB over a slow link take seconds.
 const DOUBLINGS_MAX: u32 = 4;
 
 impl Subscription {
-    /// How long an answer may take beyond the wait; one with the state takes longer, and longer again where it was late.
+    /// Response timeout in addition to the wait. It is longer for a response with the state, and doubles each time that
+    /// the state was late.
     pub(super) fn response_timeout(&self, wants_state: bool) -> Duration {
         if !wants_state {
             return RESPONSE_TIMEOUT;
@@ -22,7 +23,7 @@
         RESPONSE_TIMEOUT * 2 * (1 << late)
     }
 
-    /// Has the newest state fetched from another controller if it does not come soon.
+    /// Fetches the newest state from another controller if it does not arrive soon.
     pub(super) fn fetch(self: &Rc<Subscription>) {
         let is_first = !std::mem::replace(&mut self.state.borrow_mut().is_fetching, true);
         if is_first {
@@ -57,7 +58,7 @@
             Ok(Response::Pull(pulled)) => self.apply_response(source, pulled),
             _ => self.state.borrow_mut().missed(source),
         }
-        // Next time another is asked, and given longer.
+        // The next attempt goes to another controller with a longer timeout.
         let mut state = self.state.borrow_mut();
         if state.is_behind() {
             state.late_states += 1;
--- a/crates/onyxstile-system/src/role/subscription/state.rs
+++ b/crates/onyxstile-system/src/role/subscription/state.rs
@@ -1,72 +1,72 @@
-//! What a subscriber has heard, and from whom.
+//! State of a subscription.
 
 use std::collections::{HashMap, HashSet};
 use std::net::Ipv4Addr;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A machine's order among controllers, another for each machine.
+/// Rank of a controller for a machine; the order differs between machines.
 fn rank(own: Ipv4Addr, controller: Ipv4Addr) -> u64 {
     xxh3_64_with_seed(&controller.octets(), u64::from(u32::from(own)))
 }
 
-/// What was heard so far.
+/// Data received from the controllers so far.
 #[derive(Default)]
 pub(super) struct State {
-    /// The sequence of the control state that was taken in.
+    /// Sequence of the control state that was applied.
     pub sequence: u64,
-    /// The revision of its configuration.
+    /// Revision of its configuration.
     pub revision: u64,
-    /// The newest view that was told of.
+    /// Number of the newest view received.
     pub view: u64,
-    /// The electors of that view.
+    /// Electors of that view.
     pub electors: Vec<Ipv4Addr>,
-    /// Controllers that were sure of what they hold when they answered last.
+    /// Controllers that were settled in their last response.
     pub settled: HashSet<Ipv4Addr>,
-    /// Controllers whose last poll was answered: they may hold the next one until there is news.
+    /// Controllers that responded to the last poll: they may hold the next one until there is an update.
     pub answering: HashSet<Ipv4Addr>,
-    /// The newest sequence that was told of.
+    /// Newest sequence that any controller has reported.
     pub newest_sequence: u64,
     /// Controllers that are being polled.
     pub polled: HashSet<Ipv4Addr>,
-    /// The life and the newest change of each controller's registry.
+    /// Origin (incarnation) and newest change counter of the registry of each controller.
     pub registries: HashMap<Ipv4Addr, (u64, u64)>,
-    /// How many relays each controller counts.
+    /// Number of relays that each controller counts.
     pub relays: HashMap<Ipv4Addr, u32>,
-    /// Whether a majority has been heard since the start.
+    /// Whether a majority has responded since the start.
     pub is_fresh: bool,
-    /// Whether the newest state is being fetched from another controller than its source.
+    /// Whether the newest state is being fetched from a controller other than its source.
     pub is_fetching: bool,
-    /// How often a seed was asked before any elector was known.
+    /// Number of seed polls before any elector was known.
     pub seeds_polled: usize,
-    /// How often in a row a state did not come in its time.
+    /// Number of consecutive timeouts of a state transfer.
     pub late_states: u32,
 }
 
 impl State {
-    /// Whether more than half of the electors were sure of what they hold.
+    /// Whether more than half of the electors are settled.
     pub fn has_settled_majority(&self) -> bool {
         let settled = self.electors.iter().filter(|elector| self.settled.contains(elector)).count();
         !self.electors.is_empty() && settled > self.electors.len() / 2
     }
 
-    /// A controller did not answer.
+    /// Records that a controller did not respond.
     pub fn missed(&mut self, controller: Ipv4Addr) {
         self.settled.remove(&controller);
         self.answering.remove(&controller);
     }
 
-    /// Whether a newer state was told of than was taken in.
+    /// Whether a state newer than the applied one was reported.
     pub fn is_behind(&self) -> bool {
         self.sequence < self.newest_sequence
     }
 
-    /// The controller that sends the state to a machine: the first by rendezvous over the electors.
+    /// Controller that sends the state to a machine: the first by rendezvous hashing over the electors.
     pub fn source(&self, own: Ipv4Addr) -> Option<Ipv4Addr> {
         self.electors.iter().copied().max_by_key(|elector| rank(own, *elector))
     }
 
-    /// As many electors as are a majority, and one more, in the order of this machine.
+    /// A majority of the electors and one more, in the order of this machine.
     pub fn first_to_poll(&self, own: Ipv4Addr) -> Vec<Ipv4Addr> {
         let mut electors = self.electors.clone();
         electors.sort_by_key(|elector| std::cmp::Reverse(rank(own, *elector)));
@@ -74,23 +74,23 @@
         electors
     }
 
-    /// The seed to ask while no elector is known: one at a time, each machine in another order, so that a seed that is about to
-    /// start is not asked by all machines all the while.
+    /// Seed to poll while no elector is known. Seeds are polled one at a time and in a different order on each machine,
+    /// so that a seed which is about to start is not polled by all machines continuously.
     pub fn seed_to_poll(&self, own: Ipv4Addr, seeds: &[Ipv4Addr]) -> Option<Ipv4Addr> {
         let mut seeds = seeds.to_vec();
         seeds.sort_by_key(|seed| rank(own, *seed));
         seeds.get(self.seeds_polled % seeds.len().max(1)).copied()
     }
 
-    /// A seed was asked; if nothing is known after that, the next one is.
+    /// Records a poll of a seed; the next poll goes to the next seed if no elector is known after it.
     pub fn note_seed_polled(&mut self) {
         if self.electors.is_empty() {
             self.seeds_polled += 1;
         }
     }
 
-    /// Who may send it instead: the first of those that are sure of what they hold; where no majority was heard for long,
-    /// of those that answer at all.
+    /// Alternative source of the state: the first of the settled controllers, or of all responding ones if no majority
+    /// was settled for long.
     pub fn other_source(&self, own: Ipv4Addr) -> Option<Ipv4Addr> {
         let candidates =
             if self.settled.is_empty() && self.is_fresh { &self.answering } else { &self.settled };
@@ -98,14 +98,14 @@
         candidates.iter().copied().max_by_key(|controller| rank(rank_key, *controller))
     }
 
-    /// A controller is not polled any more.
+    /// Records that a controller is no longer polled.
     pub fn stopped(&mut self, controller: Ipv4Addr) {
         self.missed(controller);
         self.polled.remove(&controller);
         self.relays.remove(&controller);
     }
 
-    /// The most relays that any controller counts: one that is cut off from some counts too few.
+    /// Highest relay count of any controller: one that is cut off from some relays counts too few.
     pub fn most_relays(&self) -> Option<u32> {
         self.relays.values().copied().max()
     }
--- a/crates/onyxstile-system/src/role/watched_stream.rs
+++ b/crates/onyxstile-system/src/role/watched_stream.rs
@@ -99,7 +99,9 @@
 
     fn log_overdue(&self, why: Overdue) {
         match why {
-            Overdue::Head => log::info!("client {}: request head not complete within the timeout", self.peer()),
+            Overdue::Head => {
+                log::info!("client {}: request head not complete within the timeout", self.peer())
+            }
             Overdue::Idle => log::debug!("client {}: idle timeout expired", self.peer()),
         }
     }
@@ -180,7 +182,10 @@
         ready!(linger.poll(&mut this.stream, this.sleep.as_mut(), cx));
         let discarded = linger.discarded();
         if discarded > 0 {
-            log::info!("client {}: discarded {discarded} bytes received after the last response", this.peer());
+            log::info!(
+                "client {}: discarded {discarded} bytes received after the last response",
+                this.peer()
+            );
         }
         Poll::Ready(Ok(()))
     }
