--- a/crates/onyxstile-system/src/role/controller/api.rs
+++ b/crates/onyxstile-system/src/role/controller/api.rs
@@ -13,7 +13,7 @@
 use crate::registry::{Instance, Stage};
 use crate::role::http::{Answer, BodyError, json, read_body, text};
 
-/// Most bytes of a configuration.
+/// Maximum size of a configuration in bytes.
 const CONFIGURATION_MAX: usize = 8 * 1024 * 1024;
 /// Maximum size of any other body in bytes.
 const BODY_MAX: usize = 64 * 1024;
--- a/crates/onyxstile-system/src/role/storage.rs
+++ b/crates/onyxstile-system/src/role/storage.rs
@@ -1,7 +1,7 @@
-//! The storage role: turns and budgets of programs on a synced log, and their repair from the other machines.
+//! The storage role: turns and budgets of programs on a synced log, and their repair from other machines.
 //!
-//! Guarantees to the proxies: what is answered is on the disk; a machine that has lost its disk answers no quorum
-//! question until it has copied what it should hold.
+//! Guarantees to the proxies: acknowledged data is on the disk, and a machine that has lost its disk does not answer
+//! quorum requests until it has copied all the data that it should hold.
 
 mod journal;
 mod metric_values;
@@ -34,15 +34,15 @@
 use journal::Journal;
 use recovery::LoadedLog;
 
-/// How long a controller may hold a poll without news; reports of what is synced go out as often.
+/// Longest time for which a controller may hold a poll without updates; sync reports are sent at the same interval.
 const POLL_WAIT: Duration = Duration::from_millis(400);
-/// How often what is over is dropped.
+/// Interval at which expired records are dropped.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
-/// Turns held in memory beside the disk take at most one part in this many of it: some seconds of writes, after which a program's
-/// next turn has mostly come. Others are read from the log.
+/// The turn cache takes at most 1 part in this many of the memory. It holds some seconds of writes, after which the next
+/// turn of a program has usually arrived; other turns are read from the log.
 const TURN_CACHE_MEMORY_DIVISOR: usize = 32;
 
-/// One storage process.
+/// Storage process.
 pub struct StorageServer {
     settings: Rc<RefCell<Settings>>,
     clock: SteadyClock,
@@ -55,7 +55,7 @@
     origin: u64,
     is_complete: Cell<bool>,
     synced_epoch: Rc<Cell<u64>>,
-    /// The newest epoch that this machine has gone by, in this life or an earlier one.
+    /// Newest epoch that this machine has applied, in this incarnation or an earlier one.
     epoch: Cell<u64>,
     changed: Notify,
     repair: RefCell<Progress>,
@@ -75,7 +75,7 @@
         .await
         .map_err(|error| ("membership port", error))?;
     log::info!(
-        "storage {} holds {:?} turns and programs, whole {}",
+        "storage {} holds {:?} turns and programs, complete: {}",
         settings.node_name,
         loaded.index.sizes(),
         loaded.is_complete
@@ -108,7 +108,7 @@
         () = signals::reload_settings(hangups, server.settings.clone(), |fresh| {
             server.swim.borrow_mut().set_seeds(fresh.seed_addresses());
         }) => {}
-        () = termination.received() => log::info!("SIGTERM: storage ends"),
+        () = termination.received() => log::info!("SIGTERM: storage is shutting down"),
     }
     Ok(())
 }
@@ -126,7 +126,7 @@
         SocketAddrV4::new(ip, self.settings.borrow().peer_port())
     }
 
-    /// Whether this machine is to hold a key, by the plan's members or by those before.
+    /// Whether this machine should hold a key, by the current members of the plan or the previous ones.
     fn is_assigned(&self, key: &Key) -> bool {
         let plan = self.plan.borrow();
         let own = self.own();
@@ -153,7 +153,7 @@
             let obsolete = self.index.borrow_mut().expire(self.clock.now());
             self.journal.drop_records(obsolete);
             if self.is_index_full() {
-                log::warn!("writes are refused: no memory left for the index of records");
+                log::warn!("refusing writes: no memory left for the record index");
             }
         }
     }
--- a/crates/onyxstile-system/src/role/storage/journal.rs
+++ b/crates/onyxstile-system/src/role/storage/journal.rs
@@ -1,4 +1,4 @@
-//! The thread that keeps the log: requests that wait while it syncs are written together with the next sync.
+//! Log writer thread: requests that arrive during a sync are written together with the next one.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -14,49 +14,49 @@
 use crate::program::{Record, RecordNumber};
 use crate::wire::WireError;
 
-/// Bytes of records that are handed over at once while the log is read.
+/// Maximum size in bytes of a batch of records while the log is read.
 const BATCH_BYTES: usize = 256 * 1024;
-/// Batches that wait to be taken in while the log is read.
+/// Maximum number of queued batches while the log is read.
 const BATCHES_WAITING: usize = 4;
 
-/// One record of the log.
+/// Record of the log.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub(super) enum LogEntry {
-    /// The id of the disk.
+    /// Id of the disk.
     Disk(u64),
-    /// The machine has copied all that it should hold.
+    /// The machine has copied all the data that it should hold.
     Complete,
-    /// A record of a program.
+    /// Record of a program.
     Record {
         /// The record.
         record: Record,
-        /// When it was written, in ms of the time of day.
+        /// Wall-clock time of the write in ms.
         written_ms: u64,
     },
-    /// The newest epoch for which the machine holds all that the plan gives it.
+    /// Newest epoch for which the machine holds all the data that the plan assigns to it.
     Synced(u64),
-    /// The newest epoch that the machine has gone by.
+    /// Newest epoch that the machine has applied.
     Epoch(u64),
 }
 
-/// Reads one record.
+/// Decodes one record.
 pub(super) fn read(bytes: &[u8]) -> Result<LogEntry, WireError> {
     disk::decode(bytes)
 }
 
-/// A record's number and bytes.
+/// Number and bytes of a record.
 type Numbered = (RecordNumber, Vec<u8>);
 
-/// What the thread tells while it reads the log.
+/// Events of the thread while it reads the log.
 pub(super) enum LoadEvent {
-    /// Some of the records.
+    /// A batch of records.
     Records(Vec<Numbered>),
-    /// That was all; whether all that was ever acknowledged is there.
+    /// All records were read.
     Done {
-        /// Whether nothing is missing.
+        /// Whether no acknowledged record is missing.
         is_intact: bool,
     },
-    /// The log can't be opened.
+    /// The log cannot be opened.
     Failed(Error),
 }
 
@@ -67,14 +67,14 @@
     AcceptLoss,
 }
 
-/// The log, as seen from the thread that serves.
+/// Handle to the log for the serving thread.
 pub(super) struct Journal {
     jobs: mpsc::Sender<Job>,
     used_bytes: Arc<AtomicU64>,
 }
 
 impl Journal {
-    /// Starts the thread on a folder that may hold `limit` bytes; what it reads there comes by the receiver.
+    /// Starts the thread on a folder that may hold `limit` bytes; the receiver yields the records found there.
     pub(super) fn start(folder: PathBuf, limit: u64) -> (Journal, mpsc::Receiver<LoadEvent>) {
         let (jobs, queue) = mpsc::channel();
         let (sender, loading) = mpsc::sync_channel(BATCHES_WAITING);
@@ -84,47 +84,47 @@
         (Journal { jobs, used_bytes }, loading)
     }
 
-    /// Bytes of the whole log.
+    /// Total size of the log in bytes.
     pub(super) fn used_bytes(&self) -> u64 {
         self.used_bytes.load(Ordering::Relaxed)
     }
 
-    /// Writes and syncs records; false if the disk refused, or one of them is longer than any may be.
+    /// Writes and syncs records; false if the disk refused them or a record exceeds the size limit.
     pub(super) async fn append(&self, records: Vec<(RecordNumber, LogEntry)>) -> bool {
         let bytes: Vec<Numbered> =
             records.into_iter().map(|(number, stored)| (number, disk::encode(&stored))).collect();
         if bytes.iter().any(|(_, bytes)| bytes.len() > RECORD_MAX) {
-            log::warn!("a record of more than {RECORD_MAX} bytes is refused");
+            log::warn!("refusing a record of more than {RECORD_MAX} bytes");
             return false;
         }
         self.request(|answer| Job::Append(bytes, answer)).await.unwrap_or(false)
     }
 
-    /// Writes a record whose loss would only cost time.
+    /// Writes a record without waiting; its loss would only cost time.
     pub(super) fn append_later(&self, number: RecordNumber, stored: &LogEntry) {
         let (answer, _) = oneshot::channel();
         self.submit(Job::Append(vec![(number, disk::encode(stored))], answer));
     }
 
-    /// What some records hold, in their order; none for those that are not there or can't be read.
+    /// Reads records in the order of `numbers`; `None` for each that is missing or cannot be read.
     pub(super) async fn read(&self, numbers: Vec<RecordNumber>) -> Vec<Option<Vec<u8>>> {
         self.request(|answer| Job::Read(numbers, answer)).await.unwrap_or_default()
     }
 
-    /// Drops records that need not be kept any more.
+    /// Drops records that are no longer needed.
     pub(super) fn drop_records(&self, numbers: Vec<RecordNumber>) {
         if !numbers.is_empty() {
             self.submit(Job::Drop(numbers));
         }
     }
 
-    /// The consequence of a loss has been drawn by all that was written until now.
+    /// Marks a loss as handled: everything that follows from it has been written.
     pub(super) fn accept_loss(&self) {
         self.submit(Job::AcceptLoss);
     }
 
     fn submit(&self, job: Job) {
-        // The thread ends with the process only.
+        // The thread runs until the process ends.
         self.jobs.send(job).ok();
     }
 
@@ -142,7 +142,7 @@
     let opened = OsDisk::new(&folder)
         .map_err(|error| Error::Io(folder.display().to_string(), error))
         .and_then(|disk| load(disk, limit, loading));
-    // Whoever started the thread waits for what it tells.
+    // The thread that started this one waits for these events.
     match opened {
         Ok(OpenedLog { mut log, is_intact }) => {
             used_bytes.store(log.used_bytes(), Ordering::Relaxed);
@@ -195,16 +195,16 @@
 ) {
     let read = |number: &RecordNumber| {
         log.read(*number).unwrap_or_else(|error| {
-            log::error!("record {number} can't be read: {error}");
+            log::error!("cannot read record {number}: {error}");
             None
         })
     };
-    // Whoever asked may have gone.
+    // The caller may have timed out.
     answer.send(numbers.iter().map(read).collect()).ok();
 }
 
-/// Writes one request and all appends that wait behind it; reads between them need not wait. Returns the first job that is
-/// neither.
+/// Writes one append request together with all queued ones; reads between them are answered at once. Returns the first
+/// job that is neither an append nor a read.
 fn append(
     log: &mut RecordLog<OsDisk>, queue: &mpsc::Receiver<Job>, mut records: Vec<Numbered>,
     answer: oneshot::Sender<bool>, has_failed: &mut bool,
@@ -228,11 +228,11 @@
     let had_failed = std::mem::replace(has_failed, result.is_err());
     match &result {
         Err(error) if !had_failed => log::error!("the disk refuses writes: {error}"),
-        Ok(()) if had_failed => log::info!("the disk takes writes again"),
+        Ok(()) if had_failed => log::info!("the disk accepts writes again"),
         _ => {}
     }
     for answer in responders {
-        // Whoever asked may have gone.
+        // The caller may have timed out.
         answer.send(result.is_ok()).ok();
     }
     other
--- a/crates/onyxstile-system/src/role/storage/records.rs
+++ b/crates/onyxstile-system/src/role/storage/records.rs
@@ -1,4 +1,4 @@
-//! Records of programs: written to the log before they count, turns read from memory or from the log.
+//! Program records: written to the log before they take effect; turns are read from memory or from the log.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -9,23 +9,23 @@
 use crate::program::{Key, Record, RecordNumber, Turn};
 use crate::role::membership::wall_clock_ms;
 
-/// The index of what is held takes at most this share of the memory; beyond it new records are refused.
+/// Maximum share of the memory for the record index; beyond it new records are refused.
 const INDEX_SHARE: f64 = 0.5;
-/// Records read from the log at once.
+/// Maximum number of records read from the log at once.
 const RECORDS_PER_READ: usize = 64;
 
-/// What came of looking for a turn.
+/// Result of a turn lookup.
 pub(super) enum Lookup {
-    /// It is held.
+    /// The turn is held.
     Held(Rc<Turn>),
-    /// It is not held.
+    /// The turn is not held.
     Absent,
-    /// It is held, but the disk does not give it.
+    /// The turn is held, but the disk cannot return it.
     Unreadable,
 }
 
 impl Lookup {
-    /// The turn, if there is one.
+    /// The turn, if it could be read.
     pub(super) fn turn(self) -> Option<Rc<Turn>> {
         match self {
             Lookup::Held(turn) => Some(turn),
@@ -35,7 +35,7 @@
 }
 
 impl StorageServer {
-    /// Writes records to the disk and then takes them in; false if the disk or the memory has no room.
+    /// Writes records to the disk and then merges them; false if there is not enough disk space or memory.
     pub(super) async fn write(&self, records: Vec<Record>) -> bool {
         let fresh: Vec<Record> = {
             let index = self.index.borrow();
@@ -45,7 +45,7 @@
             return true;
         }
         if self.is_index_full() {
-            log::debug!("a write is refused: no memory left for the index of records");
+            log::debug!("refusing a write: no memory left for the record index");
             return false;
         }
         let fresh: Vec<(RecordNumber, Record)> =
@@ -61,7 +61,7 @@
         true
     }
 
-    /// Whether the index has taken its share of the memory.
+    /// Whether the index has reached its share of the memory.
     pub(super) fn is_index_full(&self) -> bool {
         let memory = self.settings.borrow().limits.memory_mb as f64 * 1024.0 * 1024.0 * INDEX_SHARE;
         self.index.borrow().memory_bytes() as f64 > memory
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Turns by their ids, in the order of these.
+    /// Looks up turns by their ids, in the same order.
     pub(super) async fn turns(&self, ids: &[String]) -> Vec<Lookup> {
         let mut found: HashMap<&String, Rc<Turn>> = HashMap::new();
         let mut wanted: Vec<(&String, RecordNumber)> = Vec::new();
@@ -117,7 +117,7 @@
             .collect()
     }
 
-    /// Those of some records that are held, the first of them up to `most_bytes`; one at least.
+    /// Returns the held records among `keys` until `max_bytes` are reached; at least one.
     pub(super) async fn records(&self, keys: &[Key], max_bytes: usize) -> Vec<Record> {
         let mut records = Vec::new();
         let mut bytes = 0;
--- a/crates/onyxstile-system/src/role/storage/recovery.rs
+++ b/crates/onyxstile-system/src/role/storage/recovery.rs
@@ -1,4 +1,4 @@
-//! What a storage machine finds on its disk at its start.
+//! Recovery of the log of a storage machine at its start.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -11,46 +11,49 @@
 use crate::role::membership::wall_clock_ms;
 use crate::settings::Settings;
 
-/// The log takes at most this share of the disk; three eighths of that are for what counts, the rest is for what is over
-/// and not yet removed.
+/// Maximum share of the disk for the log. Three eighths of it are for live records, the rest is for obsolete ones that
+/// are not removed yet.
 const DISK_SHARE: f64 = 0.8;
-/// The record that holds the disk's id.
+/// Number of the record with the id of the disk.
 const DISK: RecordNumber = 0;
-/// The record that says that the machine has copied all that it should hold.
+/// Number of the record that states that the machine has copied all the data that it should hold.
 pub(super) const COMPLETE: RecordNumber = 1;
-/// The record of the epoch for which the machine is synced. Other records count up from [`FIRST`] and never come this far.
+/// Number of the record of the epoch for which the machine is synced. Other records count up from [`FIRST`] and never
+/// reach this number.
 pub(super) const SYNCED: RecordNumber = RecordNumber::MAX;
-/// The record of the newest epoch that the machine has gone by.
+/// Number of the record of the newest epoch that the machine has applied.
 pub(super) const EPOCH: RecordNumber = RecordNumber::MAX - 1;
-/// The first number of other records.
+/// First number of other records.
 const FIRST: RecordNumber = 2;
 
-/// The log and what it holds.
+/// The log and its content.
 pub(super) struct LoadedLog {
     pub journal: Journal,
     pub index: RecordIndex,
-    /// The number of the next record.
+    /// Number of the next record.
     pub next: RecordNumber,
-    /// The id of the disk; 0 if it has none yet.
+    /// Id of the disk; 0 if it has none yet.
     pub disk: u64,
-    /// Whether the machine holds all that it should.
+    /// Whether the machine holds all the data that it should.
     pub is_complete: bool,
-    /// The newest epoch for which it holds all that the plan gives it.
+    /// Newest epoch for which it holds all the data that the plan assigns to it.
     pub synced_epoch: u64,
-    /// The newest epoch that it has gone by.
+    /// Newest epoch that it has applied.
     pub epoch: u64,
-    /// Whether the log has a gap whose consequence is still to be drawn.
+    /// Whether the log has a gap that has not been handled yet.
     has_gap: bool,
 }
 
 impl LoadedLog {
-    /// Opens the log and reads it.
+    /// Opens and reads the log.
     pub fn open(settings: &Settings, now: Instant) -> Result<LoadedLog, RoleError> {
         let folder = settings.data_dir.clone().ok_or(RoleError::Settings("data_dir"))?;
         let (mut loaded, is_intact) = LoadedLog::read(folder, log_limit(settings.limits.disk_mb), now)?;
         if !is_intact {
-            log::error!("the log has a gap: what it holds is kept, and all is copied anew from the others");
-            // What it acknowledged it may have lost: it is another disk from now on.
+            log::error!(
+                "the log has a gap: keeping its records and copying all data from the other machines"
+            );
+            // Acknowledged records may be lost, so this counts as another disk from now on.
             loaded.disk = 0;
             loaded.is_complete = false;
             loaded.synced_epoch = 0;
@@ -87,10 +90,10 @@
                 LoadEvent::Failed(error) => return Err(unreadable(&error.to_string())),
             }
         }
-        Err(unreadable("the thread that reads the log has ended"))
+        Err(unreadable("the log reader thread has ended"))
     }
 
-    /// Takes a record in; returns one that need not be kept.
+    /// Merges a record; returns a record that is no longer needed.
     fn merge_records(&mut self, now: Instant, number: RecordNumber, bytes: &[u8]) -> Option<RecordNumber> {
         if number < EPOCH {
             self.next = self.next.max(number + 1);
@@ -104,13 +107,13 @@
                 let age = Duration::from_millis(wall_clock_ms().saturating_sub(written_ms));
                 return self.index.merge(now, age, &record, number).obsolete;
             }
-            Err(error) => log::error!("record {number} of the log can't be read: {error}"),
+            Err(error) => log::error!("cannot read log record {number}: {error}"),
         }
         None
     }
 
-    /// Gives a disk that is empty, or has lost some of what it held, its id. At the first start of the whole system there is
-    /// nothing to be copied.
+    /// Assigns an id to a disk that is empty or has lost some of its data. At the first start of the whole system there
+    /// is nothing to copy.
     pub async fn identify(&mut self, is_first_start: bool) {
         if self.disk != 0 {
             return;
@@ -131,7 +134,7 @@
     RoleError::Io("data_dir", std::io::Error::other(why.to_owned()))
 }
 
-/// Bytes that the log may take of a disk; one of unknown size bounds nothing.
+/// Maximum size of the log in bytes for a disk of `disk_mb`; no limit if the size is unknown (0).
 fn log_limit(disk_mb: u64) -> u64 {
     match disk_mb {
         0 => u64::MAX / 2,
--- a/crates/onyxstile-system/src/role/storage/repair.rs
+++ b/crates/onyxstile-system/src/role/storage/repair.rs
@@ -1,5 +1,5 @@
-//! Repair: each storage machine asks every other for the keys that changed there, and fetches those that it should hold
-//! and doesn't. So a machine that was down, cut off, wiped or taken in anew comes to hold what is its own.
+//! Repair: each storage machine requests the changed keys of every other one and fetches the records that it should hold
+//! but lacks. In this way a machine that was down, cut off, wiped or newly added obtains its data.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -12,18 +12,18 @@
 use crate::storage_plan::StoragePlan;
 use crate::wire::{Request, Response};
 
-/// How long another machine may hold a question without changes.
+/// Longest time for which another machine may hold a request without changes.
 const POLL_WAIT: Duration = Duration::from_millis(500);
-/// Time beyond the wait that another machine has to answer.
+/// Response timeout of another machine, in addition to the wait.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after a question that failed or found a machine that isn't as far.
+/// Delay after a request that failed or reached a machine that has not caught up.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// Keys asked for at once.
+/// Maximum number of keys in a fetch request.
 const KEYS_PER_FETCH: usize = 256;
 
 impl StorageServer {
-    /// Goes by a newer storage plan. Its epoch is on the disk first: whoever copies from here by this plan relies on nothing
-    /// being written here by an older one any more, whatever restarts in between.
+    /// Applies a newer storage plan. Its epoch is written to the disk first: a machine that copies from here by this plan
+    /// relies on no further writes here by an older one, whatever restarts in between.
     pub(super) async fn apply_plan(self: Rc<StorageServer>, plan: Rc<StoragePlan>) {
         let before = self.plan.borrow().clone();
         if plan.epoch <= before.epoch {
@@ -109,7 +109,7 @@
         true
     }
 
-    /// Looks whether enough has been copied to say so.
+    /// Checks whether enough has been copied to report it.
     fn review(&self) {
         let plan = self.plan.borrow().clone();
         let was_complete = self.is_complete.get();
@@ -122,7 +122,7 @@
         );
         if assessment.is_complete && !was_complete {
             self.is_complete.set(true);
-            log::info!("copied what this machine should hold by epoch {}", plan.epoch);
+            log::info!("copied all data that this machine should hold in epoch {}", plan.epoch);
             self.journal.append_later(COMPLETE, &LogEntry::Complete);
         }
         if assessment.is_synced && self.synced_epoch.get() < plan.epoch {
--- a/crates/onyxstile-system/src/role/storage/requests.rs
+++ b/crates/onyxstile-system/src/role/storage/requests.rs
@@ -1,4 +1,4 @@
-//! What proxies and other storage machines ask a storage machine.
+//! Requests of proxies and other storage machines.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 use crate::role::rpc::ResponseFuture;
 use crate::wire::{Request, Response};
 
-/// Keys in one answer to a question for changes.
+/// Maximum number of keys in a response to a request for changes.
 const KEYS_PER_RESPONSE: usize = 2048;
-/// Bytes of records in one answer; at least one record is always sent.
+/// Maximum size of the records in a response, in bytes; at least one record is always sent.
 const RECORD_BYTES_PER_RESPONSE: usize = 4 * 1024 * 1024;
-/// The longest that an answer waits for changes.
+/// Longest time for which a response waits for changes.
 const WAIT_MAX: Duration = Duration::from_secs(5);
 
 impl StorageServer {
@@ -41,14 +41,15 @@
         }
     }
 
-    /// A sender with an older plan might write where nobody will look: it has to learn the newer plan first.
+    /// Response to a sender with an outdated plan, which might write where no reader looks: it has to learn the newer
+    /// plan first.
     fn stale(&self, epoch: u64) -> Option<Response> {
         let own = self.epoch.get();
         (epoch < own).then_some(Response::Stale(own))
     }
 
-    /// Writes records for a sender that goes by `epoch`. A plan that came while the disk was written counts: whoever copied
-    /// by the newer plan may have asked before the records were there.
+    /// Writes records for a sender that uses the plan of `epoch`. A plan that arrived during the disk write counts as
+    /// well: a machine that copies by the newer plan may have requested changes before the records were there.
     async fn write_for_epoch(&self, epoch: u64, records: Vec<Record>) -> Response {
         if let Some(stale) = self.stale(epoch) {
             return stale;
@@ -60,7 +61,7 @@
     }
 
     async fn get_turns(&self, epoch: u64, ids: &[String]) -> Response {
-        // By an older plan the turn may be looked for where it was never written.
+        // With an outdated plan the turn may be requested from machines to which it was never written.
         let is_conclusive = self.is_complete.get() && epoch >= self.epoch.get();
         let found = self.turns(ids).await;
         let is_read = !found.iter().any(|lookup| matches!(lookup, Lookup::Unreadable));
--- a/crates/onyxstile-system/tests/controller_end.rs
+++ b/crates/onyxstile-system/tests/controller_end.rs
@@ -1,7 +1,8 @@
-//! The end of a controller that is told to end.
+//! Graceful shutdown of a controller.
 //!
-//! Seen in a review after a proxy had cut a request at its end: a controller ends as soon as SIGTERM comes, whatever it is
-//! answering. An operator whose change was half read, or read and not yet acknowledged, got a closed connection.
+//! A controller used to exit as soon as SIGTERM arrived, whatever it was answering. An operator whose change was half
+//! read, or read and not yet acknowledged, got a closed connection. Found by code review after a proxy had cut a request
+//! at its shutdown.
 
 mod support;
 
@@ -13,9 +14,9 @@
     format!(r#"{{"revision":{revision},"routes":[],"services":[],"limits":{LIMITS}}}"#)
 }
 
-/// The answer's fate is open: a majority may be gone. That there is one is what counts.
+/// The outcome is open, because a majority may be down. The test checks that there is a response.
 #[test]
-fn a_change_that_is_half_read_at_sigterm_is_answered() {
+fn half_read_change_at_sigterm_is_answered() {
     play(async {
         let tier = Tier::start("controller-end", &configuration(5), &[]).await;
         let control = tier.control(2);
@@ -28,16 +29,16 @@
         let (first, rest) = body.split_at(body.len() / 2);
         let mut operator = TcpStream::connect(control).await.expect("a connection");
         operator.write_all(format!("{head}{first}").as_bytes()).await.expect("it is sent");
-        // Another's answer shows that the controller has had turns enough to read the head.
+        // The response to another request shows that the controller has had enough polls to read the head.
         ask_until(200, control, "GET", "/api/config", &[], "").await;
         terminate();
         while TcpStream::connect(control).await.is_ok() {
             tokio::task::yield_now().await;
         }
-        // The controller may have gone.
+        // The controller may have exited.
         operator.write_all(rest.as_bytes()).await.ok();
         let mut answer = String::new();
         operator.read_to_string(&mut answer).await.ok();
-        assert!(answer.starts_with("HTTP/1.1 "), "an answer, not a closed connection: {answer:?}");
+        assert!(answer.starts_with("HTTP/1.1 "), "expected a response, not a closed connection: {answer:?}");
     });
 }
--- a/crates/onyxstile-system/tests/metrics.rs
+++ b/crates/onyxstile-system/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of each role, as whoever watches a tier reads them.
+//! Metrics of each role as a monitoring system reads them.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use onyxstile_system::settings::{MetricsAddress, MetricsAddressError};
 use support::tier::{FIGURES, LIMITS, Tier, ask, ask_until, play};
 
-/// The text of a role's figures.
+/// Text of the metrics of a role.
 async fn read(from: SocketAddrV4) -> String {
     let answer = ask_until(200, from, "GET", FIGURES, &[], "").await;
     assert!(
@@ -17,22 +17,22 @@
     String::from_utf8(answer.body.expect("a whole answer").to_vec()).expect("text")
 }
 
-/// The value of a figure, if it is told; `name` with its labels.
-fn told(text: &str, name: &str) -> Option<f64> {
+/// Value of a metric, if it is present; `name` includes the labels.
+fn find_value(text: &str, name: &str) -> Option<f64> {
     let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '))?;
     Some(line.parse().expect("a number"))
 }
 
-/// The value of a figure.
+/// Value of a metric.
 fn value(text: &str, name: &str) -> f64 {
-    told(text, name).unwrap_or_else(|| panic!("no {name} in\n{text}"))
+    find_value(text, name).unwrap_or_else(|| panic!("no {name} in\n{text}"))
 }
 
-/// Reads until a figure has this value; one of a service is there only once an endpoint of it is known.
+/// Reads until a metric has this value; one of a service is present only once an endpoint of it is known.
 async fn read_until(from: SocketAddrV4, name: &str, wanted: f64) -> String {
     loop {
         let text = read(from).await;
-        if told(&text, name) == Some(wanted) {
+        if find_value(&text, name) == Some(wanted) {
             return text;
         }
         tokio::task::yield_now().await;
@@ -46,10 +46,10 @@
 }
 
 #[test]
-fn each_role_tells_how_far_it_is() {
+fn each_role_reports_its_state() {
     play(async {
-        let nobody = "127.0.0.1:9".parse().expect("an address");
-        let tier = Tier::start("figures", &configuration(), &[("i-1", "api", nobody)]).await;
+        let unused = "127.0.0.1:9".parse().expect("an address");
+        let tier = Tier::start("figures", &configuration(), &[("i-1", "api", unused)]).await;
         for host in 2..=4 {
             let text = read_until(tier.figures(host), "onyxstile_endpoints{stage=\"ready\"}", 1.0).await;
             assert!(text.ends_with("# EOF\n"));
@@ -71,17 +71,17 @@
 }
 
 #[test]
-fn refusals_and_missed_sends_are_counted_by_their_cause() {
+fn refusals_and_missed_sends_are_counted_by_cause() {
     play(async {
-        let nobody = "127.0.0.1:9".parse().expect("an address");
-        let tier = Tier::start("counted", &configuration(), &[("i-1", "api", nobody)]).await;
+        let unused = "127.0.0.1:9".parse().expect("an address");
+        let tier = Tier::start("counted", &configuration(), &[("i-1", "api", unused)]).await;
         read_until(tier.figures(1), "onyxstile_endpoints_usable{service=\"api\"}", 1.0).await;
         for _ in 0..3 {
             ask(tier.front(), "GET", "/other/x", &[("request-id", "r1")], "").await.expect("an answer");
         }
         let headers = [("request-id", "r2"), ("deadline-ms", "400")];
         let answer = ask(tier.front(), "GET", "/r/x", &headers, "").await.expect("an answer");
-        assert_eq!(answer.status, 503, "nobody listens there");
+        assert_eq!(answer.status, 503, "no process listens there");
         let text = read(tier.figures(1)).await;
         assert_eq!(value(&text, "onyxstile_refusals_total{cause=\"no_route\"}"), 3.0);
         assert_eq!(value(&text, "onyxstile_refusals_total{cause=\"not_taken\"}"), 1.0);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn only_the_path_that_was_named_tells_figures() {
+fn only_the_configured_path_serves_metrics() {
     play(async {
         let tier = Tier::start("path", &configuration(), &[]).await;
         let other = ask(tier.figures(2), "GET", "/", &[], "").await.expect("an answer");
@@ -101,18 +101,18 @@
     });
 }
 
-/// A label's values come from a configuration, which may name any number of services.
+/// The values of a label come from a configuration, which may have any number of services.
 #[test]
-fn a_figure_has_so_many_values_at_the_most() {
+fn number_of_label_values_of_a_metric_is_limited() {
     let values: Vec<(String, f64)> = (0..1000).map(|number| (format!("s{number}"), 1.0)).collect();
-    let mut figures = Metrics::default();
-    figures.gauges("endpoints_usable", "Endpoints that may be called.", "service", &values);
-    let text = figures.text();
+    let mut metrics = Metrics::default();
+    metrics.gauges("endpoints_usable", "Endpoints that may be called.", "service", &values);
+    let text = metrics.text();
     assert_eq!(text.lines().filter(|line| !line.starts_with('#')).count(), LABEL_VALUES_MAX);
 }
 
 #[test]
-fn a_place_for_figures_is_a_port_and_a_path() {
+fn metrics_address_is_a_port_and_a_path() {
     let read = |text: &str| text.parse::<MetricsAddress>();
     assert_eq!(read("9464/metrics"), Ok(MetricsAddress { port: 9464, path: "/metrics".into() }));
     assert_eq!(read("9464"), Err(MetricsAddressError::NoPath));
--- a/crates/onyxstile-system/tests/opening.rs
+++ b/crates/onyxstile-system/tests/opening.rs
@@ -1,4 +1,4 @@
-//! A controller whose records can't be read starts all the same, as one that has lost its disk.
+//! A controller whose records cannot be read starts nevertheless, like one that has lost its disk.
 
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener as StdListener};
 use std::path::Path;
@@ -10,10 +10,10 @@
 use onyxstile_system::settings::Settings;
 use onyxstile_system::wire::{Request, Response};
 
-/// Bounds the whole story; it takes some tens of ms.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of the whole test, which takes some tens of ms.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A port that is free, and not the last one there is.
+/// Returns a free port.
 fn free_port() -> u16 {
     let listener = StdListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     listener.local_addr().expect("its address").port()
@@ -28,9 +28,9 @@
     Settings::parse(Path::new("boot.toml"), &text).expect("settings")
 }
 
-/// By reading: a spoilt record of endpoints ended the process at each start, though it only counts as lost.
+/// A damaged registry record ended the process at each start, though it only counts as lost. Found by code review.
 #[test]
-fn a_controller_starts_with_records_that_are_torn() {
+fn controller_starts_with_torn_records() {
     let folder = std::env::temp_dir().join(format!("onyxstile-opening-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     for file in ["registry-3", "version-5"] {
@@ -42,7 +42,7 @@
         let answers = async {
             let (client, to) = (Client::default(), SocketAddrV4::new(Ipv4Addr::LOCALHOST, internal));
             loop {
-                if let Ok(Response::Status(lines)) = client.call(to, &Request::Status, PATIENCE).await {
+                if let Ok(Response::Status(lines)) = client.call(to, &Request::Status, TIMEOUT).await {
                     return lines;
                 }
                 tokio::task::yield_now().await;
@@ -50,7 +50,7 @@
         };
         tokio::select! {
             ended = controller::run(settings(&folder, internal, control), Signals::listen()) => panic!("it ended: {ended:?}"),
-            lines = tokio::time::timeout(PATIENCE, answers) => lines.expect("it answers"),
+            lines = tokio::time::timeout(TIMEOUT, answers) => lines.expect("it answers"),
         }
     });
     std::fs::remove_dir_all(&folder).expect("is removed");
--- a/crates/onyxstile-system/tests/signals.rs
+++ b/crates/onyxstile-system/tests/signals.rs
@@ -1,12 +1,12 @@
-//! Signals that come while a process starts.
+//! Signals that arrive while a process starts.
 //!
-//! Seen: in 3 of some 100 runs of the whole tier a SIGHUP 11 ms after a start ended a proxy or an agent.
+//! In 3 of some 100 runs of the whole tier a SIGHUP 11 ms after the start terminated a proxy or an agent.
 //!
-//! How it came about: the platform tells processes to read their settings again whenever it likes. A process listened for
-//! signals only once its role ran, after its command line, its log and its settings had been read.
+//! The platform requests a reload of the settings at any time, but a process installed its signal handlers only when its
+//! role started, after its command line, its log and its settings had been read.
 //!
-//! Cause: until somebody listens, the system's own answer to SIGHUP and SIGTERM is the end of the process. Proof: a process
-//! that is held up in reading its settings ends by the signal, each time.
+//! Until a handler is installed, the default action of SIGHUP and SIGTERM terminates the process. A process that is
+//! blocked in reading its settings was terminated by the signal each time.
 
 mod support;
 
@@ -24,13 +24,13 @@
 const ROLES: [(&str, &str, u8); 4] =
     [("proxy", "edge", 1), ("agent", "edge", 1), ("controller", "core", 2), ("storage", "storage", 5)];
 
-/// Whoever looks for free ports takes them for a moment.
+/// Looking for free ports binds them for a moment.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-/// Bounds the wait for an end.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for the end of a process.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A process that waits for its settings: they are a pipe that nobody has written to yet.
+/// A process that is blocked in reading its settings: they are a pipe without data.
 struct Starting {
     child: Child,
     pipe: File,
@@ -57,17 +57,17 @@
         Starting { child, pipe, folder, settings }
     }
 
-    /// Gives it its settings, and a file that can be read again.
-    fn go_on(&mut self) {
+    /// Writes the settings to the pipe, and replaces it by a file that can be read again.
+    fn provide_settings(&mut self) {
         let path = self.folder.join("boot.toml");
         std::fs::remove_file(&path).expect("the pipe is removed");
         std::fs::write(&path, &self.settings).expect("a file");
-        // A process that has ended reads nothing; its status says so.
+        // A process that has ended reads nothing; its exit status shows that.
         self.pipe.write_all(self.settings.as_bytes()).ok();
         self.pipe = File::open(&path).expect("the file is there");
     }
 
-    /// Its status if it ends within `time`.
+    /// Returns the exit status if the process ends within `time`.
     fn ends_within(&mut self, time: Duration) -> Option<ExitStatus> {
         let start = Instant::now();
         while start.elapsed() < time {
@@ -89,28 +89,28 @@
 }
 
 #[test]
-fn a_hangup_while_a_process_reads_its_settings_does_not_end_it() {
+fn sighup_while_settings_are_read_does_not_end_the_process() {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let ports = free_ports(1).remove(0);
     for (role, class, host) in ROLES {
         let mut process = Starting::start(&ports, role, class, host, "hangup");
         send_signal(process.child.id(), "-HUP");
-        process.go_on();
+        process.provide_settings();
         send_signal(process.child.id(), "-TERM");
-        let status = process.ends_within(PATIENCE).unwrap_or_else(|| panic!("{role} goes on"));
+        let status = process.ends_within(TIMEOUT).unwrap_or_else(|| panic!("{role} has not ended"));
         assert_eq!((status.signal(), status.success()), (None, true), "{role}: {status}");
     }
 }
 
 #[test]
-fn a_termination_while_a_process_reads_its_settings_is_an_orderly_end() {
+fn sigterm_while_settings_are_read_ends_the_process_gracefully() {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let ports = free_ports(1).remove(0);
     for (role, class, host) in ROLES {
         let mut process = Starting::start(&ports, role, class, host, "termination");
         send_signal(process.child.id(), "-TERM");
-        process.go_on();
-        let status = process.ends_within(PATIENCE).unwrap_or_else(|| panic!("{role} goes on"));
+        process.provide_settings();
+        let status = process.ends_within(TIMEOUT).unwrap_or_else(|| panic!("{role} has not ended"));
         assert_eq!((status.signal(), status.success()), (None, true), "{role}: {status}");
     }
 }
