--- a/crates/onyxstile-system/src/role.rs
+++ b/crates/onyxstile-system/src/role.rs
@@ -1,11 +1,11 @@
-//! The roles: sockets, files and the clock round the pure parts. Nothing here decides.
+//! Runtime of the roles: sockets, files and clocks around the pure state machines, which make all decisions.
 
 pub mod agent;
 pub mod controller;
-pub mod held_body;
+pub mod guarded_body;
 pub mod http;
 pub mod identity;
-pub mod linger;
+pub mod lingering_close;
 pub mod listener;
 pub mod membership;
 pub mod metrics;
@@ -18,4 +18,4 @@
 pub mod status;
 pub mod storage;
 pub mod subscription;
-pub mod watched;
+pub mod watched_stream;
--- a/crates/onyxstile-system/src/role/controller/api.rs
+++ b/crates/onyxstile-system/src/role/controller/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP API for endpoints and the operator.
+//! HTTP API for endpoints and operators.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -8,44 +8,46 @@
 use hyper::header::{HeaderValue, LOCATION};
 use hyper::{Method, Request, StatusCode};
 
-use super::Node;
+use super::ControllerServer;
 use crate::control::{Operation, Outcome};
 use crate::registry::{Instance, Stage};
 use crate::role::http::{Answer, BodyError, json, read_body, text};
 
-/// Most bytes of a configuration.
+/// Maximum size of a configuration in bytes.
 const CONFIGURATION_MAX: usize = 8 * 1024 * 1024;
-/// Most bytes of any other body.
+/// Maximum size of any other body in bytes.
 const BODY_MAX: usize = 64 * 1024;
-/// How long a body may take.
-const BODY_PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout for reading a body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Answers one request.
-pub(super) async fn answer(node: Rc<Node>, request: Request<Incoming>) -> Answer {
+pub(super) async fn answer(server: Rc<ControllerServer>, request: Request<Incoming>) -> Answer {
     let path = request.uri().path().to_owned();
     let method = request.method().clone();
     if let Some(id) = path.strip_prefix("/api/instances/") {
-        // Relays ask electors only for endpoints.
-        if let Some(elector) = node.elector_to_ask() {
+        // Relays request endpoints from electors only.
+        if let Some(elector) = server.elector_to_ask() {
             return redirect(elector, &path);
         }
-        return instances(&node, &method, id, request).await;
+        return instances(&server, &method, id, request).await;
     }
     if let Some(name) = path.strip_prefix("/api/retire/") {
-        return retire(&node, &method, name).await;
+        return retire(&server, &method, name).await;
     }
     match (method, path.as_str()) {
-        (Method::PUT, "/api/config") => put_configuration(&node, request).await,
-        (Method::GET, "/api/config") => tell(node.operate(Operation::GetConfiguration).await),
+        (Method::PUT, "/api/config") => put_configuration(&server, request).await,
+        (Method::GET, "/api/config") => outcome_response(server.operate(Operation::GetConfiguration).await),
         (_, "/api/config") => text(StatusCode::METHOD_NOT_ALLOWED, ""),
         _ => text(StatusCode::NOT_FOUND, ""),
     }
 }
 
-async fn instances(node: &Node, method: &Method, id: &str, request: Request<Incoming>) -> Answer {
+async fn instances(
+    server: &ControllerServer, method: &Method, id: &str, request: Request<Incoming>,
+) -> Answer {
     let instance = match *method {
         Method::PUT => {
-            let body = match read_body(request.into_body(), BODY_MAX, BODY_PATIENCE).await {
+            let body = match read_body(request.into_body(), BODY_MAX, BODY_TIMEOUT).await {
                 Ok(body) => body,
                 Err(error) => return refuse_body(error),
             };
@@ -54,41 +56,41 @@
                 Err(error) => return text(StatusCode::BAD_REQUEST, error.to_string()),
             }
         }
-        Method::DELETE => node.registry.borrow_mut().remove(node.clock.now(), id),
+        Method::DELETE => server.registry.borrow_mut().remove(server.clock.now(), id),
         _ => return text(StatusCode::METHOD_NOT_ALLOWED, ""),
     };
     let is_leaving = instance.stage != Stage::Ready;
-    node.hold(instance.clone());
+    server.merge_record(instance.clone());
     if *method == Method::DELETE {
-        node.changed.notify_waiters();
+        server.changed.notify_waiters();
     }
-    if is_leaving && !node.replicate(&instance).await {
-        return text(StatusCode::SERVICE_UNAVAILABLE, "too few controllers hold it");
+    if is_leaving && !server.replicate(&instance).await {
+        return text(StatusCode::SERVICE_UNAVAILABLE, "too few controllers have stored the change");
     }
     json(StatusCode::OK, "{}")
 }
 
-async fn put_configuration(node: &Node, request: Request<Incoming>) -> Answer {
+async fn put_configuration(server: &ControllerServer, request: Request<Incoming>) -> Answer {
     let header = request.headers().get(hyper::header::IF_MATCH).and_then(|value| value.to_str().ok());
     let base = header.and_then(|value| value.trim().trim_matches('"').parse().ok());
-    match read_body(request.into_body(), CONFIGURATION_MAX, BODY_PATIENCE).await {
+    match read_body(request.into_body(), CONFIGURATION_MAX, BODY_TIMEOUT).await {
         Ok(body) => {
             let body = Rc::new(body.to_vec());
-            tell(node.operate(Operation::PutConfiguration { base, body }).await)
+            outcome_response(server.operate(Operation::PutConfiguration { base, body }).await)
         }
         Err(error) => refuse_body(error),
     }
 }
 
-async fn retire(node: &Node, method: &Method, name: &str) -> Answer {
+async fn retire(server: &ControllerServer, method: &Method, name: &str) -> Answer {
     match *method {
-        Method::POST => tell(node.operate(Operation::Retire(name.to_owned())).await),
-        Method::GET => tell(node.operate(Operation::GetRetire(name.to_owned())).await),
+        Method::POST => outcome_response(server.operate(Operation::Retire(name.to_owned())).await),
+        Method::GET => outcome_response(server.operate(Operation::GetRetire(name.to_owned())).await),
         _ => text(StatusCode::METHOD_NOT_ALLOWED, ""),
     }
 }
 
-/// Sends a caller on to another controller.
+/// Redirects a caller to another controller.
 fn redirect(to: SocketAddrV4, path: &str) -> Answer {
     let mut answer = text(StatusCode::TEMPORARY_REDIRECT, "");
     if let Ok(location) = HeaderValue::from_str(&format!("http://{to}{path}")) {
@@ -99,26 +101,26 @@
 
 fn refuse_body(error: BodyError) -> Answer {
     match error {
-        BodyError::TooLong => text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"),
-        BodyError::Broken => text(StatusCode::BAD_REQUEST, "the body ended early"),
-        BodyError::TooSlow => text(StatusCode::REQUEST_TIMEOUT, "the body did not end in time"),
+        BodyError::TooLong => text(StatusCode::PAYLOAD_TOO_LARGE, "body exceeds the size limit"),
+        BodyError::Broken => text(StatusCode::BAD_REQUEST, "body ended early"),
+        BodyError::TooSlow => text(StatusCode::REQUEST_TIMEOUT, "body not complete within the timeout"),
     }
 }
 
-/// The HTTP answer to an outcome.
-fn tell(outcome: Outcome) -> Answer {
+/// HTTP response to an outcome.
+fn outcome_response(outcome: Outcome) -> Answer {
     match outcome {
         Outcome::Done => json(StatusCode::OK, "{}"),
         Outcome::Configuration(Some(configuration)) => json(StatusCode::OK, configuration.body.clone()),
-        Outcome::Configuration(None) => text(StatusCode::NOT_FOUND, "there is no configuration yet"),
+        Outcome::Configuration(None) => text(StatusCode::NOT_FOUND, "no configuration has been set"),
         Outcome::Retirement(true) => json(StatusCode::OK, r#"{"state":"completed"}"#),
         Outcome::Retirement(false) => json(StatusCode::OK, r#"{"state":"in_progress"}"#),
         Outcome::Conflict(current) => {
-            text(StatusCode::PRECONDITION_FAILED, format!("version {current} is current"))
+            text(StatusCode::PRECONDITION_FAILED, format!("the current version is {current}"))
         }
         Outcome::Invalid(reason) => text(StatusCode::BAD_REQUEST, reason),
         Outcome::NotFound => text(StatusCode::NOT_FOUND, ""),
-        Outcome::TooFew => text(StatusCode::CONFLICT, "too few storage machines would be left"),
-        Outcome::Unknown => text(StatusCode::SERVICE_UNAVAILABLE, "the fate is not known; send it again"),
+        Outcome::TooFew => text(StatusCode::CONFLICT, "too few storage machines would remain"),
+        Outcome::Unknown => text(StatusCode::SERVICE_UNAVAILABLE, "outcome unknown; retry the request"),
     }
 }
--- a/crates/onyxstile-system/src/role/controller/planner.rs
+++ b/crates/onyxstile-system/src/role/controller/planner.rs
@@ -1,24 +1,24 @@
-//! The head's part in the storage plan: what it sees of storage machines, and the plan that should follow. The head is
-//! the first live controller in the agreed order; its writes are fenced by the view's number.
+//! Storage planning by the head: its observations of storage machines and the next plan. The head is the first live
+//! controller in the agreed order; its writes are fenced by the view number.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::Node;
+use super::ControllerServer;
 use crate::control::Operation;
 use crate::storage_plan::{Observed, StorageNode, StoragePlan};
 use crate::swim::{Class, MemberState};
 
-/// A report of a storage machine counts for this long.
+/// Lifetime of the report of a storage machine.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
-/// The first plan is not made before this time: machines start within some tenths of a second of each other.
+/// Earliest time of the first plan after the start: machines start within some tenths of a second of each other.
 const FIRST_PLAN_AFTER: Duration = Duration::from_millis(700);
-/// After this time a first plan is made of fewer machines than bear all losses that should be borne.
-const NO_MORE_AFTER: Duration = Duration::from_secs(4);
+/// After this time the first plan may consist of fewer machines than are needed to tolerate all losses.
+const REDUCED_PLAN_AFTER: Duration = Duration::from_secs(4);
 
-impl Node {
-    /// Writes the next storage plan where one is due.
-    pub(super) fn plan(self: Rc<Node>) {
+impl ControllerServer {
+    /// Writes the next storage plan if one is due.
+    pub(super) fn plan(self: Rc<ControllerServer>) {
         if self.is_planning.get() {
             return;
         }
@@ -32,7 +32,7 @@
             if state.storage.epoch > 0 {
                 state.storage.next(&self.observe(), self.tolerance())
             } else if age >= FIRST_PLAN_AFTER {
-                StoragePlan::first(&self.observe(), self.tolerance(), age >= NO_MORE_AFTER)
+                StoragePlan::first(&self.observe(), self.tolerance(), age >= REDUCED_PLAN_AFTER)
             } else {
                 None
             }
@@ -51,7 +51,7 @@
         });
     }
 
-    /// Members of the storage plan that membership holds dead or does not know; only the head has to know them.
+    /// Members of the storage plan that the membership considers dead or does not know; only the head needs them.
     pub(super) fn dead_storage(&self) -> Vec<String> {
         let controller = self.controller.borrow();
         let Some(state) = controller.committed_state().filter(|_| controller.is_head()) else {
@@ -69,12 +69,12 @@
     fn observe(&self) -> Vec<Observed> {
         let now = self.clock.now();
         let swim = self.swim.borrow();
-        let synced = self.synced.borrow();
+        let sync_reports = self.sync_reports.borrow();
         let settings = self.settings.borrow();
         let storage = swim.members().filter(|member| member.class == Class::Storage);
         storage
             .map(|member| {
-                let report = synced.get(&member.ip).filter(|(_, at)| now.since(*at) < REPORT_LIFETIME);
+                let report = sync_reports.get(&member.ip).filter(|(_, at)| now.since(*at) < REPORT_LIFETIME);
                 let is_dead = member.state == MemberState::Dead;
                 Observed {
                     node: StorageNode {
--- a/crates/onyxstile-system/src/role/controller/stepping.rs
+++ b/crates/onyxstile-system/src/role/controller/stepping.rs
@@ -1,4 +1,4 @@
-//! The state machine's inputs: time, what membership sees, and operations.
+//! Inputs of the state machine: time, membership and operations.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -6,23 +6,23 @@
 
 use tokio::sync::oneshot;
 
-use super::Node;
+use super::ControllerServer;
 use crate::control::{ElectorId, Message, Operation, Outcome};
 use crate::controller::Input;
 use crate::swim::{Class, MemberState};
 use crate::tolerance::Location;
 use crate::wire::Request;
 
-/// How often the state machine's clock is looked at.
+/// Interval between ticks of the state machine.
 const TICK: Duration = Duration::from_millis(25);
-/// The operator's callers go on to another machine after a second of silence, so an answer comes before that.
-const OPERATION_PATIENCE: Duration = Duration::from_millis(850);
+/// Operator clients go on to another machine after 1 s without a response, so an operation is answered earlier.
+const OPERATION_TIMEOUT: Duration = Duration::from_millis(850);
 
-impl Node {
-    /// Looks at the clock again and again.
-    pub(super) async fn tick(self: Rc<Node>) {
+impl ControllerServer {
+    /// Drives the clock of the state machine.
+    pub(super) async fn tick(self: Rc<ControllerServer>) {
         loop {
-            self.note_sure();
+            self.note_settled();
             self.step(Input::Live(self.live_controllers()));
             self.step(Input::DeadStorage(self.dead_storage()));
             self.step(Input::Tick);
@@ -31,8 +31,8 @@
             }
             self.relays.borrow_mut().tick(self.clock.now());
             self.evidence.borrow_mut().tick(self.clock.now());
-            let is_whole = self.copies.borrow().is_complete();
-            self.kept_registry.keep(self.clock.now(), &self.registry.borrow(), is_whole);
+            let is_complete = self.drain_sync.borrow().is_complete();
+            self.registry_store.write_if_due(self.clock.now(), &self.registry.borrow(), is_complete);
             self.clone().plan();
             tokio::time::sleep(TICK).await;
         }
@@ -49,8 +49,8 @@
             .collect()
     }
 
-    /// Takes one input into the state machine and carries its effects out. While the disk refuses to write, inputs are
-    /// dropped, as if the machine were cut off.
+    /// Passes one input to the state machine and executes its effects. While the disk refuses writes, inputs are dropped,
+    /// as if the machine were cut off.
     pub(super) fn step(&self, input: Input) {
         let now = self.clock.now();
         if !self.retry_disk(now) {
@@ -59,11 +59,11 @@
         let before = self.position();
         let effects = self.controller.borrow_mut().step(now, input);
         for effect in effects {
-            if !self.carry_out(now, effect) {
+            if !self.execute(now, effect) {
                 return;
             }
         }
-        self.fold_writes(now);
+        self.snapshot_if_due(now);
         if self.position() != before {
             self.changed.notify_waiters();
         }
@@ -80,14 +80,14 @@
         self.client.cast(self.peer(to), &Request::Control { from, message });
     }
 
-    /// Hands an operation in and waits for its outcome.
+    /// Submits an operation and waits for its outcome.
     pub(super) async fn operate(&self, operation: Operation) -> Outcome {
         let number = self.last_number.get() + 1;
         self.last_number.set(number);
         let (sender, receiver) = oneshot::channel();
         self.replies.borrow_mut().insert(number, sender);
         self.step(Input::Operation { number, operation });
-        let outcome = tokio::time::timeout(OPERATION_PATIENCE, receiver).await;
+        let outcome = tokio::time::timeout(OPERATION_TIMEOUT, receiver).await;
         self.replies.borrow_mut().remove(&number);
         match outcome {
             Ok(Ok(outcome)) => outcome,
--- a/crates/onyxstile-system/src/role/held_body.rs
+++ b/crates/onyxstile-system/src/role/guarded_body.rs
@@ -1,24 +1,24 @@
-//! The body of an answer that holds something until its last byte has been handed over.
+//! Response body that keeps a guard alive until its last byte has been handed over.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
 use hyper::body::{Body, Frame, SizeHint};
 
-/// A body, and what lives as long as it.
-pub struct HeldBody<B, H> {
+/// Body with a guard of the same lifetime.
+pub struct GuardedBody<B, G> {
     body: B,
-    _held: H,
+    _guard: G,
 }
 
-impl<B, H> HeldBody<B, H> {
-    /// Holds `held` for as long as the body is not whole.
-    pub fn new(body: B, held: H) -> HeldBody<B, H> {
-        HeldBody { body, _held: held }
+impl<B, G> GuardedBody<B, G> {
+    /// Keeps `guard` alive until the body is dropped.
+    pub fn new(body: B, guard: G) -> GuardedBody<B, G> {
+        GuardedBody { body, _guard: guard }
     }
 }
 
-impl<B: Body + Unpin, H: Unpin> Body for HeldBody<B, H> {
+impl<B: Body + Unpin, G: Unpin> Body for GuardedBody<B, G> {
     type Data = B::Data;
     type Error = B::Error;
 
--- a/crates/onyxstile-system/src/role/shutdown.rs
+++ b/crates/onyxstile-system/src/role/shutdown.rs
@@ -1,82 +1,82 @@
-//! The orderly end of a role's work: nothing new is begun once it has been told to end, and it has ended once all that was
-//! begun has.
+//! Graceful shutdown of a role: no new work is accepted once it has begun, and it is complete once all open work has
+//! ended.
 //!
-//! Both are states that whoever asks later finds as well, not notices for those who wait at that moment.
+//! Both are persistent states rather than events: a waiter that arrives later sees them as well.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use tokio::sync::Notify;
 
-/// How far the end is.
+/// State of a shutdown.
 #[derive(Default)]
 pub struct Shutdown {
     is_begun: Cell<bool>,
-    begins: Notify,
+    begin_notify: Notify,
     open: Cell<usize>,
-    ends: Notify,
+    end_notify: Notify,
 }
 
 impl Shutdown {
-    /// From now on nothing new is begun.
+    /// Begins the shutdown: no new work may be accepted from now on.
     pub fn begin(&self) {
         self.is_begun.set(true);
-        self.begins.notify_waiters();
-        self.ends.notify_waiters();
+        self.begin_notify.notify_waiters();
+        self.end_notify.notify_waiters();
     }
 
-    /// Whether it has begun.
+    /// Whether the shutdown has begun.
     pub fn is_begun(&self) -> bool {
         self.is_begun.get()
     }
 
-    /// Whether it has begun and nothing is open that was begun before.
+    /// Whether the shutdown has begun and no work is open.
     pub fn is_ended(&self) -> bool {
         self.is_begun() && self.open() == 0
     }
 
-    /// Returns once it has begun, at once if that was before.
+    /// Waits until the shutdown has begun; returns at once if it has.
     pub async fn begun(&self) {
-        reached(&self.begins, || self.is_begun()).await;
+        wait_until(&self.begin_notify, || self.is_begun()).await;
     }
 
-    /// Returns once it has ended, at once if that was before.
+    /// Waits until the shutdown is complete; returns at once if it is.
     pub async fn ended(&self) {
-        reached(&self.ends, || self.is_ended()).await;
+        wait_until(&self.end_notify, || self.is_ended()).await;
     }
 
-    /// Work that is open, in pieces.
+    /// Number of open work items.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Begins a piece of work.
-    pub fn enter(self: &Rc<Shutdown>) -> Work {
+    /// Registers a work item, which is open until the guard is dropped.
+    pub fn enter(self: &Rc<Shutdown>) -> WorkGuard {
         self.open.set(self.open() + 1);
-        Work(self.clone())
+        WorkGuard(self.clone())
     }
 }
 
-/// Waits for a state of which `notify` tells those who wait. It is looked at after the wait has begun: between the two no notice
-/// can pass unheard.
-async fn reached(notify: &Notify, is_reached: impl Fn() -> bool) {
+/// Waits for a condition whose changes `notify` signals. The condition is checked after the waiter is registered, so that
+/// no notification is missed.
+async fn wait_until(notify: &Notify, condition: impl Fn() -> bool) {
     loop {
         let notified = notify.notified();
-        if is_reached() {
+        if condition() {
             return;
         }
         notified.await;
     }
 }
 
-/// A piece of work; the end waits for as long as it lives.
-pub struct Work(Rc<Shutdown>);
+/// Guard of an open work item; the shutdown completes only after it is dropped.
+pub struct WorkGuard(Rc<Shutdown>);
 
-impl Drop for Work {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
         self.0.open.set(self.0.open() - 1);
         if self.0.is_ended() {
-            self.0.ends.notify_waiters();
+            self.0.end_notify.notify_waiters();
         }
     }
 }
--- a/crates/onyxstile-system/src/role/storage/records.rs
+++ b/crates/onyxstile-system/src/role/storage/records.rs
@@ -1,31 +1,31 @@
-//! Records of programs: written to the log before they count, turns read from memory or from the log.
+//! Program records: written to the log before they take effect; turns are read from memory or from the log.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::Node;
-use super::journal::{self, Stored};
+use super::StorageServer;
+use super::journal::{self, LogEntry};
 use crate::program::{Key, Record, RecordNumber, Turn};
 use crate::role::membership::wall_clock_ms;
 
-/// The index of what is held takes at most this share of the memory; beyond it new records are refused.
+/// Maximum share of the memory for the record index; beyond it new records are refused.
 const INDEX_SHARE: f64 = 0.5;
-/// Records read from the log at once.
-const RECORDS_A_READ: usize = 64;
+/// Maximum number of records read from the log at once.
+const RECORDS_PER_READ: usize = 64;
 
-/// What came of looking for a turn.
+/// Result of a turn lookup.
 pub(super) enum Lookup {
-    /// It is held.
+    /// The turn is held.
     Held(Rc<Turn>),
-    /// It is not held.
+    /// The turn is not held.
     Absent,
-    /// It is held, but the disk does not give it.
+    /// The turn is held, but the disk cannot return it.
     Unreadable,
 }
 
 impl Lookup {
-    /// The turn, if there is one.
+    /// The turn, if it could be read.
     pub(super) fn turn(self) -> Option<Rc<Turn>> {
         match self {
             Lookup::Held(turn) => Some(turn),
@@ -34,8 +34,8 @@
     }
 }
 
-impl Node {
-    /// Writes records to the disk and then takes them in; false if the disk or the memory has no room.
+impl StorageServer {
+    /// Writes records to the disk and then merges them; false if there is not enough disk space or memory.
     pub(super) async fn write(&self, records: Vec<Record>) -> bool {
         let fresh: Vec<Record> = {
             let index = self.index.borrow();
@@ -45,23 +45,23 @@
             return true;
         }
         if self.is_index_full() {
-            log::debug!("a write is refused: no memory left for the index of records");
+            log::debug!("refusing a write: no memory left for the record index");
             return false;
         }
         let fresh: Vec<(RecordNumber, Record)> =
             fresh.into_iter().map(|record| (self.next_number(), record)).collect();
         let written_ms = wall_clock_ms();
         let stored = |(number, record): &(RecordNumber, Record)| {
-            (*number, Stored::Record { record: record.clone(), written_ms })
+            (*number, LogEntry::Record { record: record.clone(), written_ms })
         };
         if !self.journal.append(fresh.iter().map(stored).collect()).await {
             return false;
         }
-        self.take_in(fresh);
+        self.merge_records(fresh);
         true
     }
 
-    /// Whether the index has taken its share of the memory.
+    /// Whether the index has reached its share of the memory.
     pub(super) fn is_index_full(&self) -> bool {
         let memory = self.settings.borrow().limits.memory_mb as f64 * 1024.0 * 1024.0 * INDEX_SHARE;
         self.index.borrow().memory_bytes() as f64 > memory
@@ -71,7 +71,7 @@
         self.next_number.replace(self.next_number.get() + 1)
     }
 
-    fn take_in(&self, records: Vec<(RecordNumber, Record)>) {
+    fn merge_records(&self, records: Vec<(RecordNumber, Record)>) {
         let now = self.clock.now();
         let mut has_changed = false;
         let mut obsolete = Vec::new();
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Turns by their ids, in the order of these.
+    /// Looks up turns by their ids, in the same order.
     pub(super) async fn turns(&self, ids: &[String]) -> Vec<Lookup> {
         let mut found: HashMap<&String, Rc<Turn>> = HashMap::new();
         let mut wanted: Vec<(&String, RecordNumber)> = Vec::new();
@@ -117,13 +117,13 @@
             .collect()
     }
 
-    /// Those of some records that are held, the first of them up to `most_bytes`; one at least.
-    pub(super) async fn records(&self, keys: &[Key], most_bytes: usize) -> Vec<Record> {
+    /// Returns the held records among `keys` until `max_bytes` are reached; at least one.
+    pub(super) async fn records(&self, keys: &[Key], max_bytes: usize) -> Vec<Record> {
         let mut records = Vec::new();
         let mut bytes = 0;
-        for keys in keys.chunks(RECORDS_A_READ) {
+        for keys in keys.chunks(RECORDS_PER_READ) {
             for record in self.records_of(keys).await {
-                if bytes >= most_bytes {
+                if bytes >= max_bytes {
                     return records;
                 }
                 if let Record::Turn(turn) = &record {
@@ -162,7 +162,7 @@
         let read = self.journal.read(numbers).await;
         read.into_iter()
             .map(|bytes| match journal::read(&bytes?) {
-                Ok(Stored::Record { record, .. }) => Some(record),
+                Ok(LogEntry::Record { record, .. }) => Some(record),
                 _ => None,
             })
             .collect()
