--- a/src/net/directory.rs
+++ b/src/net/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of real servers by their lasting names.
+//! Directory of backend servers, keyed by their stable names (uids).
 
 use super::figures::Servers;
 use super::listed::{RawEntry, Wire};
@@ -9,56 +9,56 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// A real server.
+/// A backend server.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Server {
-    /// Its lasting name.
+    /// Stable name.
     pub uid: String,
-    /// Where it listens, once an entry has said so.
+    /// Listening address; `None` until a list entry has named it.
     pub address: Option<SocketAddr>,
-    /// How it is spoken to.
+    /// Protocol used to reach it.
     pub wire: Wire,
-    /// Its kind.
+    /// Server kind.
     pub kind: KindId,
-    /// Its destination, once an entry has said so.
+    /// Destination; valid once an entry has named it.
     pub destination: DestinationId,
     zone: ZoneId,
     rate: f64,
-    /// What the list says of it.
+    /// State in the latest list.
     listed: ListState,
-    /// That, and the operators' bans: what the module is told.
+    /// Effective state passed to the decision module: the listed state combined with operator bans.
     state: ListState,
-    /// Its idle connections lead nowhere any more.
+    /// The address has changed, so idle connections to the old one must be closed.
     moved: bool,
 }
 
 impl Server {
-    /// Whether anything new may go there, as far as the list and operators say.
+    /// Whether new calls may be sent to it, according to the list and to operator bans.
     pub fn accepts_calls(&self) -> bool {
         self.state == ListState::Live
     }
 }
 
-/// Names that were listed and are not any more, kept so that they can be banned or put back.
+/// Maximum number of names kept after they left the list, so that they can still be banned or unbanned.
 const MAX_REMEMBERED: usize = 4096;
 
-/// Real servers by their lasting names. One that has gone is kept until its last call is over; should its name
-/// come again, it is another real server.
+/// Backend servers by stable name. A removed server is kept until its last call has ended; if its name is listed again
+/// after that, it counts as a new server.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 pub struct Directory {
     numbers: BTreeMap<String, ServerNo>,
     servers: BTreeMap<ServerNo, Server>,
     next: u32,
-    /// Every destination that a list has named.
+    /// Every destination that has ever been listed.
     destinations: BTreeSet<DestinationId>,
-    /// Names that operators have banned, whatever the list says of them.
+    /// Names banned by operators, independent of the list.
     bans: BTreeSet<String>,
-    /// Names once listed whose servers were forgotten, the oldest first.
+    /// Previously listed names whose servers were removed, oldest first.
     once: VecDeque<String>,
 }
 
 impl Directory {
-    /// The number of a real server, a new one if its name is new.
+    /// Returns the number of a server and assigns a new one to an unknown name.
     pub fn number(&mut self, uid: &str) -> ServerNo {
         if let Some(no) = self.numbers.get(uid) {
             return *no;
@@ -84,8 +84,9 @@
         no
     }
 
-    /// Takes in what an entry says of a real server, in the core's terms. One that has another destination now is
-    /// another real server: what was told, seen and sent there goes on being the old one's, which is gone.
+    /// Applies a list entry and returns the resulting updates for the core. A server whose destination has changed
+    /// counts as a new server: state and calls of the old destination stay with the old number, which is marked as
+    /// gone.
     pub fn entry(&mut self, raw: &RawEntry, wire: Wire, names: &Names) -> Vec<ServiceEntry> {
         let old = self.find(&raw.uid).and_then(|no| Some((no, self.servers.get_mut(&no)?)));
         let old = old.filter(|(_, s)| s.address.is_some() && s.destination != DestinationId(raw.pod_group));
@@ -106,7 +107,7 @@
         let state = self.effective_state(&raw.uid, listed);
         let destination = DestinationId(raw.pod_group);
         self.destinations.insert(destination);
-        // A kind or zone that the settings do not name has no settings of its own.
+        // A kind or zone that is missing in the settings has no settings of its own.
         let index = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(usize::MAX);
         let (kind, zone) = (KindId(index(&names.kinds, &raw.model)), ZoneId(index(&names.zones, &raw.az)));
         if let Some(server) = self.servers.get_mut(&id) {
@@ -118,7 +119,7 @@
                     server.moved |= server.address.is_some_and(|old| old != address);
                     server.address = Some(address);
                 }
-                Err(_) => tracing::error!("discovery: `{:.60}` is no address", raw.endpoint),
+                Err(_) => tracing::error!("discovery: `{:.60}` is not an address", raw.endpoint),
             }
         }
         tracing::debug!(
@@ -133,19 +134,20 @@
         gone.into_iter().chain([entry]).collect()
     }
 
-    /// What the module is told of a server of which the list says `listed`: a ban is a drain.
+    /// Effective state of a server listed as `listed`: a ban turns `Live` into `Draining`.
     fn effective_state(&self, uid: &str, listed: ListState) -> ListState {
         let banned = listed == ListState::Live && self.bans.contains(uid);
         if banned { ListState::Draining } else { listed }
     }
 
-    /// Whether a list has named it, as far as that is remembered.
+    /// Whether the name has been listed, within the limit of remembered names.
     pub fn was_listed(&self, uid: &str) -> bool {
         let now = self.find(uid).and_then(|no| self.get(no)).is_some_and(|s| s.address.is_some());
         now || self.bans.contains(uid) || self.once.iter().any(|o| o == uid)
     }
 
-    /// Bans a name or ends its ban: its server, and what the module is to be told, if it is listed.
+    /// Sets or lifts the ban of a name. Returns the server and its update for the core if the ban changed and the
+    /// server is listed.
     pub fn ban(&mut self, uid: &str, on: bool) -> Option<(ServerNo, ServiceEntry)> {
         let changed = if on { self.bans.insert(uid.to_string()) } else { self.bans.remove(uid) };
         let no = self.find(uid).filter(|_| changed)?;
@@ -157,65 +159,65 @@
         Some((no, ServiceEntry { id: no, destination, kind, zone, state, rate }))
     }
 
-    /// How many are listed, and how many of these get nothing: banned, or among `avoided`.
+    /// Number of listed servers, and how many of them receive no calls because they are banned or in `avoided`.
     pub fn server_counts(&self, avoided: &BTreeSet<ServerNo>) -> Servers {
         let listed = self.servers.iter().filter(|(_, s)| s.address.is_some() && s.listed != ListState::Gone);
         let excluded = |(no, s): &(&ServerNo, &Server)| self.bans.contains(&s.uid) || avoided.contains(no);
         Servers { known: listed.clone().count(), excluded: listed.filter(excluded).count() }
     }
 
-    /// Those that are listed and have an address.
+    /// Listed servers that have an address.
     pub fn listed(&self) -> Vec<ServerNo> {
         let is_listed = |s: &Server| s.address.is_some() && s.listed != ListState::Gone;
         self.servers.iter().filter(|(_, s)| is_listed(s)).map(|(no, _)| *no).collect()
     }
 
-    /// The names of those of which the list says that they drain.
+    /// Names of the servers that are listed as draining.
     pub fn draining(&self) -> impl Iterator<Item = &str> {
         self.servers.values().filter(|s| s.listed == ListState::Draining).map(|s| s.uid.as_str())
     }
 
-    /// What the module is told of one now.
+    /// Current entry of a server in the core's terms.
     pub fn service_entry(&self, no: ServerNo) -> Option<ServiceEntry> {
         let s = self.get(no).filter(|s| s.address.is_some())?;
         let (destination, kind, zone, state, rate) = (s.destination, s.kind, s.zone, s.state, s.rate);
         Some(ServiceEntry { id: no, destination, kind, zone, state, rate })
     }
 
-    /// The lasting name of a real server.
+    /// Stable name of a server.
     pub fn uid(&self, no: ServerNo) -> String {
         self.servers.get(&no).map(|s| s.uid.clone()).unwrap_or_default()
     }
 
-    /// The destination of a real server.
+    /// Destination of a server.
     pub fn destination(&self, no: ServerNo) -> DestinationId {
         self.servers.get(&no).map(|s| s.destination).unwrap_or_default()
     }
 
-    /// The number that a name has, if it has one.
+    /// Number assigned to a name, if any.
     pub fn find(&self, uid: &str) -> Option<ServerNo> {
         self.numbers.get(uid).copied()
     }
 
-    /// A real server.
+    /// Looks up a server by number.
     pub fn get(&self, no: ServerNo) -> Option<&Server> {
         self.servers.get(&no)
     }
 
-    /// Whether a list has ever named the destination.
+    /// Whether the destination has ever been listed.
     pub fn was_named(&self, destination: DestinationId) -> bool {
         self.destinations.contains(&destination)
     }
 
-    /// A whole list begins: what it does not name is gone.
+    /// Starts a full list: servers that it does not contain are gone.
     pub fn begin_full_list(&mut self) {
         let servers = self.servers.values_mut();
         servers.for_each(|s| (s.listed, s.state) = (ListState::Gone, ListState::Gone));
     }
 
-    /// Guards memory and descriptors on days on which real servers come and go: returns those whose idle
-    /// connections are to be closed, as they want nothing new or have another address, and forgets those that
-    /// are gone and have no call out.
+    /// Bounds memory and file descriptors when servers change often. Returns the servers whose idle connections must be
+    /// closed, because they accept no new calls or have a new address, and removes servers that are gone and have no
+    /// open call.
     pub fn sweep(&mut self, busy: impl Fn(ServerNo) -> bool) -> Vec<ServerNo> {
         let (mut close, mut gone) = (Vec::new(), Vec::new());
         for (no, server) in &mut self.servers {
--- a/src/net/directory/tests.rs
+++ b/src/net/directory/tests.rs
@@ -1,4 +1,4 @@
-//! Names, bans and addresses as lists change.
+//! Names, bans and addresses across list updates.
 
 use super::*;
 
@@ -15,7 +15,7 @@
     assert_eq!(directory.entry(&raw("a", 1, "draining"), Wire::Http, &names)[0].id, first);
     assert_eq!(directory.sweep(|_| true), [first]);
     directory.entry(&raw("a", 1, "removed"), Wire::Http, &names);
-    // Kept while a call is out, forgotten with it.
+    // The server is kept while a call is open and removed afterwards.
     directory.sweep(|_| true);
     assert!(directory.get(first).is_some());
     directory.sweep(|_| false);
@@ -31,7 +31,7 @@
     assert_eq!(listed(&mut directory, "up"), ListState::Live);
     assert_eq!(directory.ban("a", true).unwrap().1.state, ListState::Draining);
     assert!(directory.ban("a", true).is_none(), "the second call changes nothing");
-    // The list says otherwise, lets it go and brings it back.
+    // The list changes the state, removes the server and lists it again.
     assert_eq!(listed(&mut directory, "up"), ListState::Draining);
     assert_eq!(directory.server_counts(&BTreeSet::new()), Servers { known: 1, excluded: 1 });
     assert_eq!(listed(&mut directory, "removed"), ListState::Gone);
@@ -55,8 +55,8 @@
     assert!(directory.sweep(|_| false).is_empty());
 }
 
-/// A list may say that a real server is another destination's now. Messages for that one found nobody, and its
-/// waits were not this server's.
+/// A list may move a server to another destination. Calls for the old destination must not reach it, and recorded waits
+/// of the old destination must not apply to it.
 #[test]
 fn a_server_listed_for_another_destination_gets_a_new_number() {
     let (mut directory, names) = (Directory::default(), Names::default());
--- a/src/net/inbox.rs
+++ b/src/net/inbox.rs
@@ -1,5 +1,5 @@
-//! What reaches the owner, and what it answers to an offer. Everything that speaks to the owner depends on this
-//! and not on the owner itself.
+//! Messages to the owner task, and its verdicts on submissions. Other tasks depend on this module instead of on the
+//! owner.
 
 use super::listed::{FixedServer, RawList};
 use super::orders::{AdminOrder, Answer, Order};
@@ -14,67 +14,67 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// What reaches the owner.
+/// Message to the owner task.
 #[derive(Debug)]
 pub enum OwnerMessage {
-    /// A client hands in a flow.
+    /// A client submits flows.
     Submission(Submission),
-    /// A call ended.
+    /// A call ended, with the server's reply text if there is one.
     CallEnded(CallEnd, Option<String>),
     /// A probe ended.
     Probed(ServerNo, Outcome, Option<LimitReport>),
-    /// What the operator's file says anew: all of its real servers, and its routing table.
+    /// The operator's file was reloaded: all of its fixed servers, and its routing table if that changed.
     Operator(Vec<FixedServer>, Option<Box<Staged>>),
-    /// An operator's order, and where its answer goes.
+    /// An operator's order, with the channel for its answer.
     Control(Order, oneshot::Sender<Answer>),
-    /// A call at the operators' address, and where its answer goes: done, or why not.
+    /// A request on the admin address, with the channel for its result.
     Admin(AdminOrder, oneshot::Sender<Result<(), String>>),
-    /// Another process asks for all that this one has.
+    /// Another process requests the handover of the complete state.
     HandOver(Peer),
-    /// Other rules for what fails.
+    /// New retention rules for undelivered messages.
     Rules(onyxstile_undelivered::Rules),
-    /// Relays that are gone for good, by the operator's file.
+    /// Relays that the operator's file lists as permanently gone.
     Gone(BTreeSet<NodeNo>),
-    /// News of discovery's list.
+    /// An update of the discovery list.
     List(RawList),
-    /// A sync of the journal was made, or was not.
+    /// A journal sync succeeded or failed.
     Synced(std::io::Result<crate::net::journal::Pending>),
-    /// Notices were heard.
+    /// Notices were acknowledged by their receiver.
     NoticesAcknowledged(Vec<FlowNo>),
 }
 
-/// Flows that a client hands in together.
+/// Flows that a client submits together.
 #[derive(Debug)]
 pub struct Submission {
-    /// Their class, by name.
+    /// Class name.
     pub class: String,
-    /// Their tenant, by name.
+    /// Tenant name.
     pub tenant: Option<String>,
-    /// When they are given up.
+    /// Time at which delivery is given up.
     pub deadline: Duration,
-    /// Where each goes, and what to deliver.
+    /// Destination and content of each flow.
     pub items: Vec<(DestinationId, Rc<Parcel>)>,
-    /// The client says that it has handed them in before, at a relay that did not answer.
+    /// The client states that it submitted the flows before, to a relay that did not answer.
     pub repeat: bool,
-    /// Whoever handed them in hears one verdict for all: taking one on takes all on.
+    /// The submission gets a single verdict: accepting one flow accepts all.
     pub together: bool,
-    /// Where the verdicts go, one for each.
+    /// Channel for the verdicts, one per flow.
     pub reply: oneshot::Sender<Vec<Verdict>>,
 }
 
-/// What becomes of an offer.
+/// Verdict on a submitted flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Taken on, and lasting.
+    /// Accepted and durable.
     Accepted,
-    /// Not taken; may come again after this time.
+    /// Rejected; the client may retry after this time.
     Rejected(Duration),
-    /// Not taken, for the relay ends; the next process is there after this time.
+    /// Rejected because the relay is shutting down; the next process is expected after this time.
     Ending(Duration),
-    /// No room.
+    /// Rejected: no capacity.
     Full,
     /// Given up at once.
     Failed,
-    /// It names something that the settings do not know.
+    /// The submission names something that is not in the settings.
     Unknown(&'static str),
 }
--- a/src/net/owner/admin.rs
+++ b/src/net/owner/admin.rs
@@ -1,15 +1,15 @@
-//! Operators' calls, and the figures as far as the owner feeds them.
+//! Admin requests, and the metrics that the owner maintains.
 
 use super::*;
 use crate::net::admin::codec::Order;
 
-/// Bans at once, at most. Without a bound their records would fill the journal's folder.
+/// Maximum number of simultaneous bans. Without a limit their records would fill the journal's folder.
 const BANS_MAX: usize = 1024;
-/// How often, at most, the real servers are counted: a step walks all of them for it.
+/// Minimum interval between two counts of the servers: each count walks all of them.
 const SERVER_COUNT_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Owner {
-    /// Does what an operator calls for; why not, if it cannot.
+    /// Executes an admin request; returns the reason if it is impossible.
     pub(super) fn admin(&mut self, order: Order) -> Result<(), String> {
         match order {
             Order::Exclude(uid) => self.ban(&uid, true),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Bans a real server or ends that. The record comes first: what is answered by a yes outlasts a kill.
+    /// Sets or lifts the ban of a server. The record is written first, so that a confirmed request survives a kill.
     fn ban(&mut self, uid: &str, on: bool) -> Result<(), String> {
         if !self.directory.was_listed(uid) {
             return Err(format!("no list has named `{uid}`"));
@@ -41,7 +41,7 @@
         self.journal.write(&[record]).map_err(|e| format!("it could not be written down: {e}"))?;
         tracing::info!(uid, "{}", if on { "excluded by an operator" } else { "put back by an operator" });
         if let Some((no, entry)) = self.directory.ban(uid, on) {
-            // Of a call that has not begun to go out, nothing goes out any more.
+            // Calls that are not yet being sent are held back.
             self.hold_unsent(|to| on && to == no);
             self.core.update_entries(vec![entry], false);
             self.sweep_servers();
@@ -50,7 +50,8 @@
         Ok(())
     }
 
-    /// Counts flows that got their verdict before they had numbers. One that names nothing known is no message.
+    /// Counts flows that received a verdict before a number was assigned. A submission with unknown names does not
+    /// count as a message.
     pub(super) fn count_verdict(&self, class: &str, verdict: Verdict, flows: usize) {
         let fate = match verdict {
             Verdict::Accepted | Verdict::Unknown(_) => return,
@@ -60,13 +61,13 @@
         (0..flows).for_each(|_| self.figures.ended(class, fate));
     }
 
-    /// Counts a flow's end, while its place is still known.
+    /// Counts the end of a flow; must run before its `FlowInfo` is removed.
     pub(super) fn count_end(&self, no: FlowNo, end: End) {
         match end {
             End::Delivered => self.count(no, Fate::Served),
             End::Failed => self.count(no, Fate::Failed),
             End::Returned(_) => self.count(no, Fate::Refused),
-            // Over without us: whoever ended it has counted it.
+            // Ended elsewhere and counted there.
             End::Over => {}
         }
     }
@@ -78,7 +79,7 @@
         }
     }
 
-    /// What is counted anew, and not fed by what happens.
+    /// Updates the metrics that are sampled instead of event driven.
     pub(super) fn update_metrics(&mut self, now: Duration) {
         self.figures.in_flight(self.core.open_flows());
         if now >= self.servers_counted_at + SERVER_COUNT_INTERVAL {
--- a/src/net/owner/claims.rs
+++ b/src/net/owner/claims.rs
@@ -1,4 +1,4 @@
-//! Flows that a client hands in again, marked as such: the others are asked what they know before one is taken on.
+//! Flows that a client marks as submitted before: the other relays are asked about them before they are accepted.
 
 use super::*;
 use onyxstile_peers::book::id_digest;
@@ -6,14 +6,14 @@
 use onyxstile_recovery::claims::decide;
 use onyxstile_recovery::{Claim, MayKnow};
 
-/// How long the others may take to answer: a client waits 400 ms for its own answer.
+/// Time allowed for the other relays to answer: a client waits 400 ms for its own answer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(180);
-/// Claims open at once, at most: each holds its body.
+/// Maximum number of open claims: each holds the message body.
 const MAX_OPEN_CLAIMS: usize = 64;
-/// How long a client is asked to stay away where nobody can tell now.
+/// Retry-after time for a claim that cannot be decided at present.
 const CLAIM_RETRY_AFTER: Duration = Duration::from_millis(1000);
 
-/// Claims whose answers have not all come.
+/// Claims that wait for answers.
 #[derive(Debug, Default)]
 pub(super) struct Claims {
     open: BTreeMap<u64, Open>,
@@ -28,13 +28,14 @@
     left: usize,
 }
 
-/// What a relay is that was not asked, or did not answer. One that is gone for good has taken nothing on since.
+/// Knowledge assumed for a relay that was not asked or did not answer. A relay that is permanently gone has accepted
+/// nothing since then.
 fn silent(peers: &Peers, node: NodeNo, now: Duration) -> MayKnow {
     peers.gone_for(node, now).map_or(MayKnow::Silent, MayKnow::Unknown)
 }
 
 impl Owner {
-    /// Takes a marked offer aside, if the others have to be asked about it first. Gives it back if not.
+    /// Holds back a repeated submission if the other relays have to be asked about it first; otherwise returns it.
     pub(super) fn claim(&mut self, offer: Submission) -> Result<(), Submission> {
         let now = self.clock.now();
         let class = position(&self.names.classes, &offer.class).and_then(|c| self.classes.get(c));
@@ -52,7 +53,7 @@
         fleet.claims.last += 1;
         let claim = fleet.claims.last;
         let mut open = Open { offer, heard: BTreeMap::new(), left: 0 };
-        // This relay may have lost what it took on, like any other.
+        // This relay, like any other, may have lost flows that it had accepted.
         open.heard.insert(NodeNo(u16::MAX), MayKnow::Unknown(fleet.book.whole_for(now)));
         for node in fleet.peers.others() {
             match fleet.peers.ask(node, Question::Ids(ids.clone()), now, PEER_TIMEOUT) {
@@ -69,8 +70,9 @@
         Ok(())
     }
 
-    /// By the operator's file these relays are gone for good: once a message's life has passed since, their silence holds no
-    /// claim back any more. What they took on before may have run, and stays theirs for as long as it lives.
+    /// Applies the operator's list of permanently gone relays: once a message's lifetime has passed since then, a
+    /// missing answer of such a relay no longer delays a claim. Flows that it accepted before may have run and belong
+    /// to it for the rest of their lifetime.
     pub(super) fn set_gone_relays(&mut self, gone: BTreeSet<NodeNo>) {
         if let Some(fleet) = &mut self.fleet {
             tracing::info!(nodes = ?gone.iter().map(|n| n.0).collect::<Vec<_>>(), "relays that are gone for good");
@@ -103,17 +105,12 @@
         let life = class.map_or(Duration::ZERO, |c| c.1);
         let heard: Vec<_> = open.heard.values().copied().collect();
         let is = decide(&heard, life);
-        // Word of it is enough; that nobody knows it takes all of them.
+        // One relay that has the flow decides the claim; ruling it out requires all answers.
         if open.left > 0 && !matches!(is, Claim::Theirs | Claim::Over) {
             return;
         }
         let Some(Open { offer, .. }) = fleet.claims.open.remove(&claim) else { return };
-        tracing::debug!(
-            id = offer.items.first().map(|(_, p)| p.id.as_str()),
-            ?is,
-            ?heard,
-            "a flow was claimed"
-        );
+        tracing::debug!(id = offer.items.first().map(|(_, p)| p.id.as_str()), ?is, ?heard, "claim decided");
         let verdict = match is {
             Claim::Free => return self.handle_submission(offer),
             Claim::Theirs => Verdict::Accepted,
--- a/src/net/owner/control.rs
+++ b/src/net/owner/control.rs
@@ -1,4 +1,4 @@
-//! An operator's orders to the owner. Each does a bounded part of what is asked, and says where to go on.
+//! Operator orders to the owner. Each call processes a bounded part and returns the position at which to continue.
 
 use super::*;
 use crate::net::control::{Answer, Order, What};
@@ -6,7 +6,7 @@
 use onyxstile_undelivered::{Kept, State};
 use serde_json::json;
 
-/// Messages of one answer, at most, and with bodies.
+/// Maximum number of messages per answer, without and with bodies.
 const ITEMS: (usize, usize) = (200, 8);
 
 impl Owner {
@@ -75,7 +75,7 @@
                 answer.left += 1;
             }
         }
-        // What a person orders has to be there when it is answered.
+        // An operator's change must be durable before it is confirmed.
         match keeper.write(std::mem::take(&mut self.resend_ends), true) {
             Ok(ends) => {
                 for no in ends {
@@ -89,7 +89,7 @@
     }
 }
 
-/// A kept message, for people and programs.
+/// JSON representation of an undelivered message.
 pub fn item(kept: &Kept, body: Option<&[u8]>) -> serde_json::Value {
     let mut item = json!({
         "key": kept.key,
--- a/src/net/owner/drain.rs
+++ b/src/net/owner/drain.rs
@@ -1,18 +1,18 @@
-//! The owner's part in the program's end.
+//! Draining and shutdown of the owner.
 
 use super::*;
 
-/// Time from the order to end within which calls may still begin, within which flows are still taken on, and
-/// after which the program exits: the kill comes no sooner than 3.7 s after it. What is taken on after the last
-/// call has begun is the next process's, which finds it in the journal. After the owner come the last answers (50 ms) and
-/// the ends of clients' connections (100 ms at most): the program is gone 0.1 s before the kill.
+/// Times after the shutdown request until which calls may begin and flows are accepted, and after which the program
+/// exits: the kill follows 3.7 s after the request at the earliest. Flows accepted after the last call has begun are
+/// left in the journal for the next process. After the owner come the last answers (50 ms) and the closing of client
+/// connections (100 ms at most), so the program has exited 0.1 s before the kill.
 const DRAIN_CALLS: Duration = Duration::from_millis(2700);
 const DRAIN_ACCEPT: Duration = Duration::from_millis(3300);
 const DRAIN_END: Duration = Duration::from_millis(3450);
-/// Time without a flow open or handed in after which nobody is left who would use the rest.
+/// The drain ends early after this time without an open flow or a submission.
 const DRAIN_IDLE: Duration = Duration::from_millis(1000);
-/// Time from the order to end after which the next process is there: the kill, its pause, and a start. Clients
-/// are asked to stay away until then, within the two times.
+/// Expected time from the shutdown request until the next process is ready: the kill, its pause and a start. Clients
+/// receive the remaining time as retry-after, limited to `RETRY_AFTER_RANGE`.
 const NEXT_READY: Duration = Duration::from_millis(4500);
 const RETRY_AFTER_RANGE: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(2));
 
@@ -24,7 +24,7 @@
         [idle_until, since + DRAIN_CALLS, since + DRAIN_END].into_iter().filter(|t| *t > now).min()
     }
 
-    /// Follows the order to end; true once nothing is left that can still end in time.
+    /// Advances the drain; true once nothing is left that can still end in time.
     pub(super) fn drained(&mut self) -> bool {
         let now = self.clock.now();
         if self.draining_since.is_none() {
@@ -39,8 +39,8 @@
         now >= since + DRAIN_END || idle && now >= self.last_submission.max(since) + DRAIN_IDLE
     }
 
-    /// Whether flows are taken on. Guards what is handed in during a planned restart: a relay that turned all
-    /// down from the order on left its clients without one for as long as it took to end and the next to come.
+    /// Whether flows are accepted. Accepting continues while draining: rejecting from the shutdown request on would
+    /// leave the clients without a relay until the next process is ready.
     pub(super) fn accepts_flows(&self) -> bool {
         let until = self.draining_since.map(|since| since + DRAIN_ACCEPT);
         match self.phase.state() {
@@ -51,8 +51,8 @@
     }
 }
 
-/// How long clients should stay away from a relay that ends. Guards their time: told the same at every moment,
-/// those refused last would come long after there is somebody again.
+/// Retry-after time for clients of a relay that shuts down. It shrinks as the drain proceeds; a constant would make the
+/// clients that are rejected last return long after the next process is ready.
 pub(super) fn retry_after(draining_since: Option<Duration>, now: Duration) -> Duration {
     let left = draining_since.map_or(NEXT_READY, |since| (since + NEXT_READY).saturating_sub(now));
     left.clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1)
--- a/src/net/owner/drain/tests.rs
+++ b/src/net/owner/drain/tests.rs
@@ -1,4 +1,4 @@
-//! What clients are told by a relay that ends.
+//! Retry-after times of a draining relay.
 
 use super::*;
 
--- a/src/net/owner/durable_steps.rs
+++ b/src/net/owner/durable_steps.rs
@@ -1,32 +1,34 @@
-//! Steps whose promises wait until what was written for them is synced. Only where writes have to outlast the machine.
+//! Steps that are held back until their journal records are synced. Used only where writes have to survive a machine
+//! failure.
 //!
-//! A step that takes a flow on, or that sends one that must not run twice, is held back until a sync that was begun after
-//! its write has returned; so are all steps after it, in their order. One sync serves all steps that wait when it begins.
+//! A step that accepts a flow, or that sends one that must not run twice, is held back until a sync that began after
+//! its write has returned; all later steps wait behind it, in order. One sync serves all steps that are waiting when it
+//! begins.
 
 use super::*;
 use crate::net::journal::Pending;
 use std::io;
 
-/// A step that was written.
+/// A step whose records are written.
 #[derive(Debug)]
 pub(super) struct Step {
     effects: Vec<Effect<Rc<Parcel>>>,
     at: Duration,
     lasting: bool,
     resent: BTreeSet<FlowNo>,
-    /// The write that has to be synced before it may be carried out.
+    /// Number of the write that must be synced before the step is carried out.
     write: u64,
 }
 
-/// What is held back.
+/// Steps held back for a sync.
 #[derive(Debug, Default)]
 pub(super) struct HeldBack {
     steps: VecDeque<Step>,
-    /// A sync is under way.
+    /// A sync is running.
     syncing: bool,
-    /// Where its end is told; none where writes need not be synced.
+    /// Receives the result of a sync; `None` where writes need no sync.
     to: Option<mpsc::Sender<OwnerMessage>>,
-    /// Syncs, and steps that they served.
+    /// Number of syncs, and of steps released by them.
     counts: (u64, u64),
 }
 
@@ -37,7 +39,7 @@
 }
 
 impl Owner {
-    /// Carries a step out, or holds it back.
+    /// Carries a step out or holds it back for a sync.
     pub(super) fn carry_out_durably(
         &mut self, effects: Vec<Effect<Rc<Parcel>>>, at: Duration, lasting: bool, resent: BTreeSet<FlowNo>,
     ) {
@@ -53,7 +55,7 @@
         self.begin_sync();
     }
 
-    /// A 202, and a call that must not be made twice, are promises that a loss of power must not break.
+    /// A 202, and a call that must not be made twice, have to survive a power failure.
     fn must_be_durable(&self, effect: &Effect<Rc<Parcel>>) -> bool {
         match effect {
             Effect::Accepted(..) => true,
@@ -89,13 +91,13 @@
                     let _ = to.send(OwnerMessage::Synced(result)).await;
                 });
             }
-            // A rewrite has synced all of it.
+            // A rewrite of the journal has synced all of it.
             Ok(None) => self.release_steps(),
             Err(e) => self.sync_failed(&e),
         }
     }
 
-    /// A sync ended.
+    /// Handles the result of a sync.
     pub(super) fn synced(&mut self, made: io::Result<Pending>) {
         self.held_back.syncing = false;
         match made {
@@ -119,10 +121,11 @@
         }
     }
 
-    /// Guards the 202: what was to be taken is not, though it is in the file; its end is written after it. What a disk
-    /// has once failed to sync may be gone without a word, so all that is known goes to a new file.
+    /// After a failed sync the flows of the held-back steps are not accepted although their records are in the file;
+    /// records of their end follow. Data that a disk failed to sync once may be lost without a further error, so the
+    /// complete state is written to a new file.
     fn sync_failed(&mut self, e: &io::Error) {
-        tracing::error!("journal: not synced: {e}; new flows are turned down");
+        tracing::error!("journal: sync failed: {e}; new flows are rejected");
         for step in std::mem::take(&mut self.held_back.steps) {
             let taken =
                 |e: &Effect<Rc<Parcel>>| if let Effect::Accepted(no, _) = e { Some(*no) } else { None };
@@ -134,17 +137,17 @@
         self.journal.spoilt();
     }
 
-    /// Whether every step that was written has been carried out.
+    /// Whether every written step has been carried out.
     pub(super) fn all_steps_done(&self) -> bool {
         self.held_back.steps.is_empty()
     }
 
-    /// Writes that the process ends in order; nothing is written after it.
+    /// Records the orderly end of the process; nothing is written after it.
     pub(super) fn close_journal(&mut self) {
         if self.times_written {
             let closed = self.journal.write(&[Record::Closed(self.clock.now())]);
             if let Err(e) = closed.and_then(|()| self.journal.sync_all()) {
-                tracing::warn!("journal: not closed: {e}");
+                tracing::warn!("journal: the closing record was not written: {e}");
             }
         }
         self.fleet.iter().for_each(fleet::Fleet::log_counts);
--- a/src/net/owner/effects.rs
+++ b/src/net/owner/effects.rs
@@ -1,4 +1,4 @@
-//! What a step asks for is done, once it is written down.
+//! Carries out the effects of a step after its records are written.
 
 use super::*;
 use onyxstile_peers::Fate as FlowFate;
@@ -20,7 +20,7 @@
                 self.settle(no, Verdict::Accepted);
             }
             Effect::Accepted(no, parcel) => {
-                // Guards the promise of a 202: what is not written down was not taken.
+                // Keeps the 202 correct: a flow whose record was not written is not accepted.
                 self.count(no, Fate::Refused);
                 self.core.withdraw(no);
                 if self.resends.contains_key(&no) {
@@ -42,7 +42,7 @@
                 let to = self.directory.get(server).and_then(|s| Some((s.address?, s.wire)));
                 let destination = self.flow_infos.get(&flow).map(|p| p.destination);
                 let (Some((address, wire)), Some(destination), true) = (to, destination, lasting) else {
-                    // Not written down, or nowhere to go: it does not go out.
+                    // Not recorded, or no address: the call is not sent.
                     let (outcome, elapsed) = (Outcome::Void, Duration::ZERO);
                     self.unwritten.extend(lasting.then_some(Record::CallEnded(flow, true)));
                     let end =
@@ -64,7 +64,7 @@
                 let item = upstream::Item { flow, attempt, over_at, parcel: payload };
                 let kind = self.directory.get(server).map(|s| s.kind.0);
                 let most = kind.and_then(|k| self.per_call.get(k)).copied().unwrap_or(1);
-                // What one step sends to one real server travels together, as far as its kind allows.
+                // Calls of one step to one server share a request, up to the limit of the server's kind.
                 let shared = self.http_calls.iter_mut().rev().find(|c| c.server == server);
                 match shared.filter(|c| c.takes(&item, most)) {
                     Some(call) => {
@@ -108,7 +108,7 @@
                 self.count_end(no, end);
                 self.flow_infos.remove(&no);
                 self.routing.flow_over(no);
-                // A resend's id is that of the flow that failed, which has its own place here.
+                // A resend has the id of the flow that failed, which has its own entry here.
                 if self.ids.get(&parcel.id) == Some(&no) {
                     self.over.push_back(parcel.id.clone());
                 }
@@ -151,19 +151,19 @@
         }
     }
 
-    /// Of what has not begun to go out to these real servers, nothing goes out any more.
+    /// Holds calls and probes to these servers that have not begun to be sent.
     pub(super) fn hold_unsent(&self, to: impl Fn(ServerNo) -> bool) {
         let calls = self.calls.values().map(|c| (c.server, &c.switch));
         let all = calls.chain(self.probes.iter().map(|(no, switch)| (*no, switch)));
         all.filter(|(no, _)| to(*no)).for_each(|(_, switch)| switch.hold());
     }
 
-    /// The same for all of a destination's.
+    /// Holds unsent calls and probes of a whole destination.
     pub(super) fn hold_destination(&self, destination: DestinationId) {
         self.hold_unsent(|no| self.directory.destination(no) == destination);
     }
 
-    /// Until when a keyed flow that may have run may be written again.
+    /// Time until which a keyed flow that may have run may be written again.
     fn write_by(&self, flow: FlowNo) -> Option<Duration> {
         let (_, progress) = self.journal.ledger().open.get(&flow)?;
         let (effect, _) = self.classes.get(self.flow_infos.get(&flow)?.class)?;
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Makes the calls of this step; one switch acts on all attempts of a call.
+    /// Makes the calls of this step; a call's switch applies to all of its attempts.
     pub(super) fn make_calls(&mut self) {
         for order in std::mem::take(&mut self.http_calls) {
             let server = order.server;
@@ -183,7 +183,7 @@
         }
     }
 
-    /// A call to this server carries these attempts.
+    /// Registers the attempts carried by a call to a server.
     pub(super) fn register_call(&mut self, keys: Vec<(FlowNo, u32)>, server: ServerNo, switch: &Switch) {
         for key in keys {
             self.calls.insert(key, OpenCall { switch: switch.clone(), server });
--- a/src/net/owner/fleet.rs
+++ b/src/net/owner/fleet.rs
@@ -1,4 +1,4 @@
-//! The other relays, as the owner has them: datagrams in and out, what is asked, and what is answered to others.
+//! The owner's side of the exchange with the other relays: datagrams, requests and answers.
 
 mod view;
 
@@ -16,32 +16,34 @@
 use std::net::SocketAddr;
 use view::View;
 
-/// Addresses whose datagrams were dropped that are remembered, so that each is logged once; more are only counted.
+/// Maximum number of remembered source addresses of dropped datagrams. Each is logged once; further ones are only
+/// counted.
 const MAX_REJECTED_SENDERS: usize = 64;
 
-/// The owner's part in the fleet.
+/// State of the exchange with the other relays.
 #[derive(Debug)]
 pub(super) struct Fleet {
     pub(super) peers: Peers,
     link: Link,
-    /// Fates of flows by their ids.
+    /// Flow outcomes by id digest.
     pub(super) book: Book,
     pub(super) claims: Claims,
-    /// What the others told after a loss.
+    /// Facts received from other relays after a loss.
     pub(super) evidence: Evidence,
-    /// Facts had of each so far.
+    /// Number of facts received from each relay.
     pub(super) facts_received: BTreeMap<NodeNo, u16>,
-    /// Questions of the return that are open.
+    /// Open requests of the restart recovery.
     pub(super) asked: BTreeMap<Number, NodeNo>,
-    /// The latest version of the list that any of them has, and the latest of their clocks against this one.
+    /// Highest list version reported by any relay, and the largest lead of their clocks over the local one.
     pub(super) peer_list_rev: u64,
     pub(super) clock_offset: Duration,
-    /// Drains and bans of which others told: until the list has this version, or an operator says otherwise.
+    /// Drains and bans reported by other relays. Each is held until the list reaches the given version or an operator
+    /// changes it.
     pub(super) peer_holds: BTreeMap<String, Option<u64>>,
-    /// When this process began, and since when it has known the world.
+    /// Start time of this process, and the time since which its records are complete.
     pub(super) began: Duration,
     pub(super) complete_since: Duration,
-    /// Where datagrams came from that were dropped.
+    /// Source addresses of dropped datagrams.
     rejected_senders: BTreeSet<SocketAddr>,
 }
 
@@ -64,14 +66,14 @@
         }
     }
 
-    /// A datagram was dropped; it is said once an address.
+    /// Logs a dropped datagram, once per address.
     fn dropped(&mut self, from: SocketAddr, bytes: usize) {
         if self.rejected_senders.len() < MAX_REJECTED_SENDERS && self.rejected_senders.insert(from) {
-            tracing::warn!(%from, bytes, "a datagram is dropped: cut, forged, another version's, not the fleet's, or too many");
+            tracing::warn!(%from, bytes, "a datagram is dropped: truncated, forged, of another version or fleet, or above the rate limit");
         }
     }
 
-    /// Says what came and went between relays.
+    /// Logs the datagram counters.
     pub(super) fn log_counts(&self) {
         let Counts { sent, sent_bytes, came, dropped } = self.peers.counts();
         tracing::info!(sent, sent_bytes, came, dropped, "datagrams");
@@ -90,7 +92,7 @@
         }
     }
 
-    /// A datagram came.
+    /// Handles a received datagram.
     pub(super) fn datagram(&mut self, from: SocketAddr, bytes: &[u8]) {
         if !self.has_started() {
             return;
@@ -115,7 +117,7 @@
         self.apply_peer_effects(said, now);
     }
 
-    /// Does what is due between relays.
+    /// Runs the periodic work of the exchange when it is due.
     pub(super) fn tick_fleet(&mut self) {
         if !self.has_started() {
             return;
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Asks for what the return needs; whether it could be asked.
+    /// Sends a request of the restart recovery, if that is possible.
     pub(super) fn ask_about_loss(&mut self, to: NodeNo, question: Question, timeout: Duration) {
         let now = self.clock.now();
         if let Some(fleet) = &mut self.fleet
@@ -164,7 +166,7 @@
         }
     }
 
-    /// An answer to the return's questions came, or its time is up.
+    /// Handles an answer to a request of the restart recovery, or its timeout.
     fn loss_answered(&mut self, node: NodeNo, heard: Heard, now: Duration) {
         let (cold, mut more) = (self.cold_time, None);
         if let Some(fleet) = &mut self.fleet {
@@ -192,7 +194,7 @@
         self.check_asked(now);
     }
 
-    /// What became of a flow, for others who ask.
+    /// Records the outcome of a flow for requests of other relays.
     pub(super) fn record_fate(&mut self, id: &str, fate: FlowFate) {
         let now = self.clock.now();
         if let Some(fleet) = &mut self.fleet {
@@ -200,7 +202,7 @@
         }
     }
 
-    /// The life that this relay goes by from now on.
+    /// Switches to another incarnation.
     pub(super) fn use_incarnation(&mut self, life: Life, now: Duration) {
         if let Some(said) = self.fleet.as_mut().map(|f| f.peers.become_life(life, now)) {
             self.apply_peer_effects(said, now);
--- a/src/net/owner/fleet/view.rs
+++ b/src/net/owner/fleet/view.rs
@@ -1,14 +1,14 @@
-//! What this relay tells of itself when another asks.
+//! Local state that is reported to other relays on request.
 
 use super::*;
 use crate::api::Health;
 use onyxstile_peers::facts::{Kind, Sight};
 use onyxstile_peers::{About, Fact, Own};
 
-/// What is seen of a real server says nothing any more after this long.
+/// Age at which a health record of a server is no longer reported.
 const HEALTH_RECORD_MAX_AGE: Duration = Duration::from_secs(60);
 
-/// What this relay knows, at the moment of a question.
+/// Local state at the time of a request.
 pub(super) struct View<'a> {
     pub(super) core: &'a Core<Rc<Parcel>>,
     pub(super) directory: &'a Directory,
--- a/src/net/owner/handover.rs
+++ b/src/net/owner/handover.rs
@@ -1,4 +1,4 @@
-//! The owner's part in an upgrade: it gives everything to another process, or goes on with what one gave.
+//! Upgrade handover: transfers the complete state to another process, or resumes from a transferred state.
 
 use super::*;
 use crate::net::upgrade::machine::{Give, Giver, ToGiver};
@@ -9,14 +9,15 @@
 use std::os::fd::{AsFd, BorrowedFd};
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// How long the owner waits for a task to leave its socket before it looks at its queue again.
+/// Interval at which the owner checks its queue while tasks release their sockets.
 const LOOK: Duration = Duration::from_millis(10);
 
 impl Owner {
-    /// Hands all to another process. Returns it if it has gone on; if not, all here goes on as before.
+    /// Transfers the complete state to another process. Returns the peer once that process has taken over; otherwise
+    /// this process continues as before.
     pub(super) async fn hand_over(&mut self, mut peer: Peer) -> Option<Peer> {
         let (mut giver, began) = (Giver::default(), Instant::now());
-        tracing::info!("another process asks for all that this one has");
+        tracing::info!("another process requests a handover");
         if giver.on(ToGiver::Asked) != Give::Park {
             return None;
         }
@@ -35,7 +36,8 @@
                 }
             };
             if giver.on(event) == Give::Commit {
-                // In this order: no connection is open twice when the other begins, and nobody decides in between.
+                // This order keeps each connection open in only one process when the other begins, and leaves no time
+                // with two deciding processes.
                 drop(parked);
                 self.lock.take().into_iter().for_each(Lock::give_up);
                 let _ = timeout(READY_TIME, peer.say(Kind::Go, &[])).await;
@@ -43,14 +45,15 @@
                 return Some(peer);
             }
         }
-        // The other must know before anything is done here: without this word it would take us for dead.
+        // The peer must be notified before anything is done here: without this message it would assume that this
+        // process has died.
         let _ = timeout(READY_TIME, peer.say(Kind::Resumed, &[])).await;
-        tracing::warn!("not handed over; this process goes on");
+        tracing::warn!("not handed over; this process continues");
         self.adopt_held_sockets(parked);
         None
     }
 
-    /// Waits until every task has left its socket or ended, and all that came of it is decided on.
+    /// Waits until every task has released its socket or ended and all of their results are processed.
     async fn parked(&mut self, peer: &mut Peer) -> bool {
         let until = Instant::now() + PARK_TIME;
         loop {
@@ -66,7 +69,7 @@
                 return true;
             }
             if Instant::now() >= until {
-                tracing::warn!("not all sockets could be had in time");
+                tracing::warn!("not all sockets were released in time");
                 let _ = timeout(READY_TIME, peer.say(Kind::Later, b"it is busy")).await;
                 return false;
             }
@@ -79,8 +82,8 @@
         }
     }
 
-    /// Guards the descriptors: until the other has its word both processes hold every socket. What has no request on it
-    /// goes first.
+    /// Bounds file descriptors: both processes hold every socket until the handover is confirmed. Connections without a
+    /// request are dropped first.
     fn trim(&self, parked: &mut Parked) {
         let calls = parked.calls.iter().filter(|c| c.stream.is_some()).count();
         let room = (self.sockets / 2).saturating_sub(calls);
@@ -125,7 +128,7 @@
         })
     }
 
-    /// Takes all sockets up that were parked: by another process, or here in vain.
+    /// Adopts all held sockets, either from another process or after a failed handover.
     pub fn adopt_held_sockets(&mut self, parked: Parked) {
         let Parked { listener, edges, calls, idle } = parked;
         self.upstream.adopt_idle(idle);
@@ -146,7 +149,7 @@
         call.note.items.retain(|item| {
             let (flow, attempt) = (item.flow, item.attempt);
             let parcel = self.journal.ledger().open.get(&flow).map(|(f, _)| f.parcel.clone());
-            // The flow of a call that is out may be over; of such a flow no other call begins to go out.
+            // The flow of a sent call may have ended; no further call is sent for such a flow.
             let parcel = parcel.or_else(|| sent.then(no_parcel));
             if parcel.is_none() {
                 let outcome = Outcome::Void;
@@ -165,7 +168,7 @@
         self.register_call(keys, server, &switch);
     }
 
-    /// Goes on with what another process had, but for the sockets. Nothing is written and nothing done yet.
+    /// Restores the state of another process except its sockets. Nothing is written or carried out yet.
     pub(super) fn resume_from(&mut self, config: &Config, state: State) -> Result<(), OwnerError> {
         let now = self.clock.now();
         let core = read(&state.core).map_err(|_| OwnerError::Handed("the module's state"))?;
@@ -184,7 +187,7 @@
         self.evacuation.set(state.evacuated);
         for no in self.core.flows().collect::<Vec<_>>() {
             let Some((flow, _)) = self.journal.ledger().open.get(&no).cloned() else { continue };
-            self.register_flow(no, &flow, now).ok_or(OwnerError::Handed("a class that is not known"))?;
+            self.register_flow(no, &flow, now).ok_or(OwnerError::Handed("unknown class"))?;
         }
         // The operator's file may name other servers now.
         let fixed = std::mem::replace(&mut self.fixed, state.fixed);
@@ -192,24 +195,24 @@
             self.take_servers(fixed);
         }
         let (flows, calls) = (self.core.open_flows(), state.calls.len());
-        tracing::info!("goes on with {flows} open flows, {calls} calls and {} clients", state.edges.len());
+        tracing::info!("continuing with {flows} open flows, {calls} calls and {} clients", state.edges.len());
         Ok(())
     }
 
-    /// This process decides from now on.
+    /// Holds the folder lock: from now on this process decides and writes.
     pub fn take_lock(&mut self, lock: Lock) {
         self.lock = Some(lock);
     }
 }
 
-/// Sends all and keeps it, and waits for the other to have built it.
+/// Sends a copy of the state and the sockets, and waits until the peer has built its own state from it.
 async fn offer(peer: &mut Peer, state: &State, parked: &Parked) -> ToGiver {
     let Ok(bytes) = write(state) else { return ToGiver::Late };
     if bytes.len() > STATE_MAX {
         tracing::warn!("not handed over: the state has {} bytes", bytes.len());
         return ToGiver::Late;
     }
-    // In the order in which the state names them.
+    // Same order as in the state.
     let listener = parked.listener.iter().map(AsFd::as_fd);
     let edges = parked.edges.iter().map(|e| e.stream.as_fd());
     let calls = parked.calls.iter().filter_map(|c| c.stream.as_ref()).map(AsFd::as_fd);
--- a/src/net/owner/mail.rs
+++ b/src/net/owner/mail.rs
@@ -1,10 +1,10 @@
-//! What the owner does for mail flows alone: calls that they share, and the notifications of their ends.
+//! Mail flows: shared calls, and notifications of their ends.
 
 use super::*;
 
 impl Owner {
-    /// How the end of a flow is written down, with what is owed for it.
-    /// `refused`: the call that the ledger may still show as out is known not to have run.
+    /// Journal record of the end of a flow, including the notice that is due for it. `refused`: the call that the
+    /// ledger may still show as sent is known not to have run.
     pub(super) fn end_record(
         &mut self, no: FlowNo, parcel: &Parcel, end: End, refused: bool, now: Duration,
     ) -> Record {
@@ -62,8 +62,8 @@
         )
     }
 
-    /// Hands the mail calls of this step out: what goes to one real server shares calls as far as its kind
-    /// allows, and in a call what has one sender and one body shares a transaction.
+    /// Makes the mail calls of this step. Messages to one server share calls up to the limit of its kind; within a
+    /// call, messages with the same sender and body share a transaction.
     pub(super) fn make_mail_calls(&mut self) {
         let mut by_server: BTreeMap<ServerNo, Vec<_>> = BTreeMap::new();
         for (server, give_up_at, destination, item) in std::mem::take(&mut self.mail_calls) {
--- a/src/net/owner/mod.rs
+++ b/src/net/owner/mod.rs
@@ -1,4 +1,5 @@
-//! The one task that owns the module, the core and the journal. All else reaches it by one bounded queue.
+//! The task that owns the decision module, the core and the journal. All other tasks reach it through one bounded
+//! queue.
 
 mod admin;
 mod claims;
@@ -62,11 +63,11 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep_until;
 
-/// Messages taken into one step, at most.
+/// Maximum number of messages handled in one step.
 const BATCH: usize = 256;
-/// Time for which the owner may be kept from its work before it says so: a notice is overdue after 300 ms.
+/// Delay of the owner's work from which it is logged: a notice is overdue after 300 ms.
 const STALL: Duration = Duration::from_millis(100);
-/// Ids of flows that are over, kept in case one is handed in twice.
+/// Number of ids of ended flows that are kept to recognise repeated submissions.
 const MAX_REMEMBERED: usize = 4096;
 
 #[derive(Debug)]
@@ -75,16 +76,16 @@
     server: ServerNo,
 }
 
-/// What has to be known of an open flow beside what the core keeps.
+/// Data of an open flow beside that in the core.
 #[derive(Debug, Clone, Copy)]
 struct FlowInfo {
     destination: DestinationId,
     class: usize,
-    /// A resend: its message has been counted before.
+    /// A resend: its message has already been counted.
     resend: bool,
 }
 
-/// Flows whose client waits for the end of the present step.
+/// Submitted flows whose client waits for the end of the current step.
 #[derive(Debug)]
 struct SubmissionGroup {
     reply: oneshot::Sender<Vec<Verdict>>,
@@ -99,7 +100,7 @@
     flow: TakenFlow,
 }
 
-/// The owner's state.
+/// State of the owner task.
 #[derive(Debug)]
 pub struct Owner {
     core: Core<Rc<Parcel>>,
@@ -111,32 +112,32 @@
     upstream: Upstream,
     mail: Option<(MailSettings, MailUpstream)>,
     hooks: Rc<Hooks>,
-    /// What scripts see of the open flows; kept only where there are scripts.
+    /// Open flows as scripts see them; filled only if there are scripts.
     views: BTreeMap<FlowNo, FlowView>,
     fixed: Vec<FixedServer>,
     routing: Rc<Routing>,
     per_call: Vec<usize>,
-    /// Kinds whose real servers are each for themselves.
+    /// Whether the servers of a kind have independent routes, by kind.
     independent_routes: Vec<bool>,
     recorder: Option<StepRecorder>,
-    /// What a repeat does and how long a flow lives, by class.
+    /// Effect of a repetition and lifetime of a flow, by class.
     classes: Vec<(crate::api::Effect, Duration)>,
     directory: Directory,
-    /// The version of discovery's list.
+    /// Version of the discovery list.
     list_rev: u64,
     calls: BTreeMap<(FlowNo, u32), OpenCall>,
-    /// Probes that are out.
+    /// Open probes.
     probes: Vec<(ServerNo, Switch)>,
-    /// Offers that wait for the end of the present step.
+    /// Submissions that wait for the end of the current step.
     pending_submissions: BTreeMap<FlowNo, PendingSubmission>,
     groups: BTreeMap<u64, SubmissionGroup>,
-    /// Records that the next write begins with.
+    /// Records to be written first by the next write.
     unwritten: Vec<Record>,
-    /// What real servers last said of open mail flows.
+    /// Last replies of the servers for open mail flows.
     replies: BTreeMap<FlowNo, String>,
-    /// Calls of the present step, as far as they can share no other.
+    /// Calls of the current step, combined where possible.
     http_calls: Vec<CallOrder>,
-    /// Mail calls of the present step.
+    /// Mail calls of the current step.
     mail_calls: Vec<(ServerNo, Duration, DestinationId, Item)>,
     flow_infos: BTreeMap<FlowNo, FlowInfo>,
     ids: BTreeMap<String, FlowNo>,
@@ -146,38 +147,38 @@
     notices: mpsc::Sender<Vec<(FlowNo, Owed)>>,
     notifying: bool,
     draining_since: Option<Duration>,
-    /// Keeps what fails, where that is wanted.
+    /// Manages undelivered messages, if enabled.
     keeper: Option<Keeper>,
     resends: BTreeMap<FlowNo, undelivered::Resend>,
-    /// Resends that ended in this step, or in one whose changes could not be written.
+    /// Resends that ended in this step, or in an earlier one whose changes could not be written.
     resend_ends: Vec<FlowNo>,
     max_calls: usize,
     max_held: usize,
     figures: Figures,
-    /// When the figures of real servers were taken last.
+    /// When the servers were last counted for the metrics.
     servers_counted_at: Duration,
     evacuation: Evacuation,
-    /// That this process decides and writes; given up when another one goes on.
+    /// Entitles this process to decide and write; released in a handover.
     lock: Option<Lock>,
     parking: Parking,
     edge: Option<Rc<Edge>>,
-    /// Sockets that two processes may hold together.
+    /// Number of sockets that two processes may hold together.
     sockets: usize,
-    /// When a client last handed something in.
+    /// Time of the last submission.
     last_submission: Duration,
     queue: mpsc::Receiver<OwnerMessage>,
     /// Steps that wait for a sync.
     held_back: durable_steps::HeldBack,
-    /// Times are written down: a later process may have to judge by them.
+    /// Whether times are recorded, because a later process may have to decide by them.
     times_written: bool,
-    /// The other relays, where they are wanted; their datagrams; and the return to service after a loss.
+    /// Exchange with the other relays, if configured; their datagrams; and the restart recovery.
     fleet: Option<fleet::Fleet>,
     datagrams: mpsc::Receiver<Datagram>,
     restart: Option<restart::RestartRecovery>,
-    /// How long a real server may be cold, and what a class's flow is worth.
+    /// How long a server may be cold, and the utility of a flow by class.
     cold_time: Duration,
     worth: Vec<f64>,
-    /// Operators' calls, which wait behind nothing else.
+    /// Operator requests; handled before everything else.
     orders: mpsc::Receiver<OwnerMessage>,
 }
 
--- a/src/net/owner/new.rs
+++ b/src/net/owner/new.rs
@@ -1,13 +1,13 @@
-//! How an owner begins: with what the journal holds, or with what another process had.
+//! Construction of the owner from the journal or from the state of another process.
 
 use super::*;
 use onyxstile_recovery::Loss;
 
 impl Owner {
-    /// An owner that has taken up what the journal holds.
+    /// Creates an owner from the contents of the journal or from a transferred state.
     ///
     /// # Errors
-    /// Settings that cannot work, or a state that was handed over and does not fit.
+    /// Invalid settings, or a transferred state that is inconsistent.
     pub fn new(config: &Config, parts: OwnerParts) -> Result<Self, OwnerError> {
         let OwnerParts {
             journal,
--- a/src/net/owner/parts.rs
+++ b/src/net/owner/parts.rs
@@ -1,23 +1,23 @@
-//! What an owner is made with, and how it ends.
+//! Inputs of the owner, and the result of its run.
 
 use super::*;
 use crate::net::peers::{Datagram, Link};
 
-/// How an owner ended.
+/// How the owner ended.
 #[derive(Debug)]
 pub enum Ended {
-    /// In order. What keeps the trace is to be closed when all else is done.
+    /// Drained in order. The recorder is to be closed after everything else.
     Drained(Option<Recorder>),
-    /// Another process goes on.
+    /// Another process has taken over.
     Handed(Peer),
 }
 
-/// Why there can be no owner.
+/// Why the owner cannot be created.
 #[derive(Debug)]
 pub enum OwnerError {
-    /// The settings.
+    /// Invalid settings.
     Settings(crate::core::SettingsError),
-    /// What another process handed over, which does not fit together.
+    /// The state transferred by another process is inconsistent.
     Handed(&'static str),
 }
 
@@ -25,7 +25,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             OwnerError::Settings(e) => write!(f, "{e}"),
-            OwnerError::Handed(what) => write!(f, "what was handed over cannot be used: {what}"),
+            OwnerError::Handed(what) => write!(f, "the transferred state cannot be used: {what}"),
         }
     }
 }
@@ -38,47 +38,47 @@
     }
 }
 
-/// What the owner is made with.
+/// Inputs of the owner.
 #[derive(Debug)]
 pub struct OwnerParts {
-    /// The journal, read.
+    /// The journal, already read.
     pub journal: Journal,
-    /// The clock.
+    /// Time source.
     pub clock: Clock,
-    /// The program's phase.
+    /// Phase of the program.
     pub phase: Phase,
-    /// Makes the calls.
+    /// Sends the HTTP calls.
     pub upstream: Upstream,
-    /// Makes those by mail.
+    /// Sends the mail calls.
     pub mail_upstream: Option<MailUpstream>,
-    /// The routing table; an empty one routes nothing.
+    /// Routing table; an empty one routes nothing.
     pub routing: Rc<Routing>,
-    /// Keeps the trace, where one is wanted.
+    /// Records the trace, if enabled.
     pub recorder: Option<StepRecorder>,
-    /// Keeps what fails, where that is wanted.
+    /// Manages undelivered messages, if enabled.
     pub keeper: Option<Keeper>,
-    /// Takes batches of notices.
+    /// Receives batches of notices.
     pub notices: mpsc::Sender<Vec<(FlowNo, Owed)>>,
-    /// The folder's lock, if it is held already.
+    /// Lock of the folder, if already held.
     pub lock: Option<Lock>,
-    /// Where sockets are left for another process.
+    /// Collects the sockets that are held for another process.
     pub parking: Parking,
-    /// The front, which takes connections up again that no other process has.
+    /// Client connections; adopts those that no other process took over.
     pub edge: Option<Rc<Edge>>,
-    /// What another process had, if one handed over.
+    /// State transferred by another process, if any.
     pub handed: Option<HandedState>,
-    /// What is reported of the relay.
+    /// Metrics of the relay.
     pub figures: Figures,
     /// Whether clients are sent away.
     pub evacuation: Evacuation,
-    /// The way to the other relays, where they are wanted, and which of them this one is.
+    /// Link to the other relays and this relay's number among them, if configured.
     pub peers: Option<(Link, onyxstile_peers::NodeNo)>,
-    /// Their datagrams.
+    /// Datagrams of the other relays.
     pub datagrams: mpsc::Receiver<Datagram>,
-    /// Where the ends of syncs are told.
+    /// Receives the results of syncs.
     pub synced: mpsc::Sender<OwnerMessage>,
-    /// Where everything comes in.
+    /// Queue of all messages to the owner.
     pub queue: mpsc::Receiver<OwnerMessage>,
-    /// Where operators' calls come in.
+    /// Queue of operator requests.
     pub orders: mpsc::Receiver<OwnerMessage>,
 }
--- a/src/net/owner/recovery.rs
+++ b/src/net/owner/recovery.rs
@@ -1,11 +1,11 @@
-//! What the owner takes up from the journal at its start.
+//! Recovery of open flows from the journal at start.
 
 use super::*;
 use onyxstile_recovery::{Held, Loss, Repeat, trust};
 
 impl Owner {
-    /// Takes up the flows that an earlier process left open. A call that was out may have run; what follows
-    /// from that is for the module to say.
+    /// Restores the flows that an earlier process left open. A call that was sent may have run; the decision module
+    /// determines what follows.
     pub(super) fn recover(&mut self, flows: &BTreeSet<FlowNo>, loss: Loss) {
         let now = self.clock.now();
         let ledger = self.journal.ledger();
@@ -18,17 +18,17 @@
                     Some(keeper) if keeper.goes_on(no, of) => {
                         self.resends.insert(no, undelivered::Resend { key: of.0, flow: flow.clone() });
                     }
-                    // The shelf was written last, and knows how it ended.
+                    // The message store was written last and contains the result of the resend.
                     Some(_) => {
                         lost.push(Record::Ended(no, None));
                         continue;
                     }
                     None => {
-                        // Guards the message against a second effect, should it be kept again one day: the
-                        // journal goes on saying that its resend was open.
+                        // Prevents a second effect if the message is kept again later: the journal retains the record
+                        // that its resend was open.
                         tracing::warn!(
                             flow = no.0,
-                            "a resend is open in the journal, and nothing is kept any more"
+                            "a resend is open in the journal, but the message store is disabled"
                         );
                         continue;
                     }
@@ -38,7 +38,7 @@
             let seen = now + self.fleet.as_ref().map_or(Duration::ZERO, |f| f.clock_offset);
             let past = progress.past(seen, |server| self.directory.number(server));
             if !self.restore_flow(no, &flow, Some(past), seen) {
-                // The settings have lost its class: nothing can be decided for it but its end.
+                // Its class is no longer in the settings: the flow can only be ended.
                 let owed = Owed { id: flow.parcel.id.clone(), returned_after: None };
                 lost.push(Record::Ended(no, Some(owed).filter(|_| flow.parcel.mail.is_none())));
                 continue;
@@ -49,7 +49,7 @@
             self.journal.ledger().owed.iter().for_each(|(no, owed)| scribe.owed_before(*no, &owed.id));
         }
         if let Err(e) = self.journal.write(&lost) {
-            tracing::error!("journal: {e}");
+            tracing::error!("journal: write failed: {e}");
         }
         tracing::info!(
             "recovered {} open flows and {} notices owed",
@@ -58,7 +58,7 @@
         );
     }
 
-    /// What is to be believed of what the records say was done for a flow.
+    /// Progress of a flow that must be assumed from its records, given what the folder may have lost.
     pub(super) fn assumed_progress(
         &self, no: FlowNo, flow: &TakenFlow, progress: Progress, loss: Loss,
     ) -> Progress {
@@ -66,7 +66,7 @@
         let once = class.is_none_or(|c| c.0 == crate::api::Effect::Once);
         let repeat = if once { Repeat::Never } else { Repeat::Bounded };
         let call = progress.risk.is_some() || progress.out.is_some();
-        // Without a time it was taken on at any time.
+        // Without a recorded time the flow may have been accepted at any time.
         let taken = self.journal.ledger().taken.get(&no).copied().unwrap_or_default();
         match trust::held(loss, repeat, call, taken) {
             Held::MayHaveRun(at) => {
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Hands the core a flow that is lasting already; false if the settings do not know its class. `past`: what an
-    /// earlier process did for it, if there was one.
+    /// Passes a durable flow to the core; false if its class is not in the settings. `past`: what an earlier process
+    /// did for it, if there was one.
     pub(super) fn restore_flow(
         &mut self, no: FlowNo, flow: &TakenFlow, past: Option<Past>, now: Duration,
     ) -> bool {
@@ -97,7 +97,8 @@
         true
     }
 
-    /// Takes in all that is kept of a lasting flow beside the core; its class, if the settings know that.
+    /// Registers the state that the owner keeps for a durable flow beside the core; returns its class if the settings
+    /// contain it.
     pub(super) fn register_flow(&mut self, no: FlowNo, flow: &TakenFlow, now: Duration) -> Option<usize> {
         let class = position(&self.names.classes, &flow.class)?;
         let (destination, resend) = (DestinationId(flow.destination), flow.resend_of.is_some());
--- a/src/net/owner/restart.rs
+++ b/src/net/owner/restart.rs
@@ -1,4 +1,4 @@
-//! The owner's part in a return to service: what [`onyxstile_recovery`] decides is carried out here.
+//! Restart recovery: carries out what [`onyxstile_recovery`] decides.
 
 mod peer_facts;
 mod stale_folder;
@@ -15,19 +15,20 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Others that are asked after a loss, at most: one that knows a later life of this relay is enough, and each knows
-/// partners by calls of its own.
+/// Maximum number of relays asked after a loss: one that has seen a later incarnation of this relay is enough, and each
+/// has observed the servers through its own calls.
 const MAX_PEERS_ASKED: usize = 16;
-/// How long a start that cannot be written waits before it is tried again.
+/// Delay before a failed write of the start record is retried.
 const START_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// How long who is turned away during a return is asked to stay away.
+/// Range of the retry-after time during restart recovery.
 const RETRY_AFTER_RANGE: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(2));
 
-/// A return that is under way, or was.
+/// State of the restart recovery, running or finished.
 #[derive(Debug)]
 pub(super) struct RestartRecovery {
     ret: Return,
-    /// What the folder showed as open and has not been handed over, and all of it that must not run twice, or may.
+    /// Flows that were open in the folder and are not recovered yet, and, of all open flows, those that must not run
+    /// twice and the others.
     left: BTreeSet<FlowNo>,
     once: BTreeSet<FlowNo>,
     others: BTreeSet<FlowNo>,
@@ -36,19 +37,19 @@
     pub(super) kept: bool,
     ramp: Option<Ramp>,
     asked_until: Duration,
-    /// Until when a real server of which no sound relay told is taken for cold when it is first listed.
+    /// Until this time, a newly listed server is treated as cold unless a relay with complete records reported it.
     pub(super) cold_until: Duration,
     rng: Pcg32,
     life: Life,
     boot: String,
     node: Option<u16>,
-    /// What the folder by itself says that was lost.
+    /// The loss that the folder itself shows.
     loss: Loss,
-    /// The start is not written yet, and is tried to be again at this time.
+    /// The start record is not written yet; next attempt at this time.
     start_retry_at: Option<Duration>,
 }
 
-/// The life with which a process begins: the next one of its folder, or the first of a new one.
+/// Incarnation of a new process: the next one of its folder, or the first one of a new folder.
 pub(crate) fn next_incarnation(last: Option<&Started>, seed: u64, now: Duration) -> Life {
     let mut rng = Pcg32::seed_from_u64(seed ^ now.as_nanos() as u64);
     let process = rng.next_u32() as u16;
@@ -59,7 +60,8 @@
 }
 
 impl Owner {
-    /// Judges the folder and begins the return. The start is written, and synced, before anything else is said or done.
+    /// Classifies the folder and begins the recovery. The start record is written and synced before anything is sent or
+    /// carried out.
     pub(super) fn begin_restart(&mut self, config: &Config, life: Life) {
         let now = self.clock.now();
         let boot = config.durability.as_ref().map(|s| s.boot.clone()).unwrap_or_default();
@@ -117,8 +119,8 @@
         self.write_start();
     }
 
-    /// Writes the start down, and syncs it, before anything else is said or done: without, the others would take the next
-    /// process for this one. While that cannot be done nothing is.
+    /// Writes and syncs the start record before anything is sent or carried out: otherwise the other relays would take
+    /// the next process for this one. Nothing is done until the write succeeds.
     fn write_start(&mut self) {
         let now = self.clock.now();
         let Some(c) = self.restart.as_mut().filter(|c| c.start_retry_at.is_some_and(|at| at <= now)) else {
@@ -127,8 +129,8 @@
         let durability = self.journal.durability();
         let started = Started { life: c.life, node: c.node, boot: c.boot.clone(), durability, at: now };
         let (loss, mut records) = (c.loss, vec![Record::Started(started)]);
-        // Guards what was lost against a second start: that one finds a folder in order, on a machine that is the same, and
-        // would take what is not written for what never was.
+        // Records the loss for a second start, which finds a consistent folder on the same machine and would otherwise
+        // treat missing records as events that never happened.
         if !matches!(loss, Loss::Nothing | Loss::Unsynced) {
             records.push(Record::OverFrom(now));
         }
@@ -141,7 +143,9 @@
         }
         let written = self.journal.write(&records).and_then(|()| self.journal.sync_all());
         if let Err(e) = written {
-            tracing::error!("journal: the start cannot be written: {e}; nothing is done before it is");
+            tracing::error!(
+                "journal: the start record cannot be written: {e}; retrying before any other work"
+            );
             self.with_restart(|c| c.start_retry_at = Some(now + START_RETRY_DELAY));
             return;
         }
@@ -150,7 +154,7 @@
         self.on_restart_event(Event::Judged { loss, peers }, now);
     }
 
-    /// Whether the start is written: only then is anything said to the others.
+    /// Whether the start record is written; nothing is sent to other relays before that.
     pub(super) fn has_started(&self) -> bool {
         self.restart.as_ref().is_none_or(|c| c.start_retry_at.is_none())
     }
--- a/src/net/owner/restart/peer_facts.rs
+++ b/src/net/owner/restart/peer_facts.rs
@@ -1,4 +1,4 @@
-//! What the others told is passed to the module, in words that its events have.
+//! Passes the facts reported by other relays to the decision module as ordinary events.
 
 use super::*;
 use crate::api::LimitReport;
@@ -6,8 +6,8 @@
 use onyxstile_peers::facts::Sight;
 
 impl Owner {
-    /// Tells the module what is known of the real servers, as facts that its events have words for: one that may be cold
-    /// has been put back after a drain; a told wait, a limit and silence are what a probe would have found.
+    /// Passes the known facts about the servers to the decision module in terms of its events: a server that may be
+    /// cold is treated as put back after a drain; a reported wait, a limit and an outage are treated as probe results.
     pub(super) fn pass_peer_facts(&mut self, now: Duration) {
         let loss = self.restart.as_ref().map_or(Loss::Nothing, |c| c.ret.loss());
         let waits = self.journal.ledger().waits.clone();
@@ -33,17 +33,17 @@
             if reported.sight.is_some_and(|(s, _)| s == Sight::Down) && loss.shakes() {
                 (0..2).for_each(|_| self.core.probe_ended(no, Outcome::Unreachable, None));
             }
-            // This relay's own record goes first; what it cannot know to be complete, others may add to.
+            // The local record takes precedence; where it may be incomplete, other relays' reports can extend it.
             let own = waits.get(&uid).map_or(Duration::ZERO, |until| until.saturating_sub(now));
             let wait = if loss.shakes() { own.max(reported.wait) } else { own };
             if !wait.is_zero() {
-                tracing::info!(uid, rest = ?wait, "a told wait goes on");
+                tracing::info!(uid, rest = ?wait, "a reported wait remains in effect");
                 self.core.probe_ended(no, Outcome::Overloaded { wait: Some(wait) }, None);
             }
         }
     }
 
-    /// Real servers that come with a list after a loss: nobody has seen them yet, and they may be as cold as the others.
+    /// Servers that are first listed after a loss have not been observed by any relay and may be as cold as the others.
     pub(in crate::net::owner) fn listed_after_loss(&mut self, before: &[ServerNo]) {
         let now = self.clock.now();
         if self
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Word of a flow that an earlier process, or this one long ago, had: its client hears the same again.
+    /// Verdict on a flow that was decided by an earlier process, or by this one long ago: the client receives the same
+    /// verdict.
     pub(in crate::net::owner) fn earlier_verdict(
         &self, items: &[(DestinationId, Rc<Parcel>)],
     ) -> Option<Verdict> {
@@ -69,25 +70,25 @@
         }
     }
 
-    /// One that has been put back after a drain is cold; that is what the module is told of it.
+    /// Marks a server as cold, like one that was put back after a drain.
     pub(in crate::net::owner) fn mark_server_cold(&mut self, no: ServerNo) {
         if let Some(entry) = self.directory.service_entry(no).filter(|e| e.state == ListState::Live) {
             self.core.mark_cold(entry);
         }
     }
 
-    /// Holds a real server back on the word of others.
+    /// Holds a server back because other relays reported it as drained or banned.
     fn hold_on_peer_report(&mut self, uid: &str, rev: Option<u64>) {
         let Some(fleet) = &mut self.fleet else { return };
         if fleet.peer_holds.insert(uid.to_string(), rev).is_none() {
-            tracing::info!(uid, ?rev, "held back on the word of others");
+            tracing::info!(uid, ?rev, "server held back on reports of other relays");
             if let Some((_, entry)) = self.directory.ban(uid, true) {
                 self.core.update_entries(vec![entry], false);
             }
         }
     }
 
-    /// A list in this version says itself what drains.
+    /// Ends the holds that were set until this list version, since the list itself contains the drains.
     pub(super) fn end_peer_holds(&mut self, rev: u64) {
         let Some(fleet) = &mut self.fleet else { return };
         let over: Vec<_> = fleet
--- a/src/net/owner/restart/stale_folder.rs
+++ b/src/net/owner/restart/stale_folder.rs
@@ -1,13 +1,13 @@
-//! A folder that turns out to be an old copy is given up.
+//! Handling of a folder that turns out to be an outdated copy.
 
 use super::*;
 
 impl Owner {
-    /// Another relay knows a later life of this one: the folder is an old copy. Nothing that it shows is acted on, and the
-    /// relay goes on as the first life of a new folder.
+    /// Another relay has seen a later incarnation of this one, so the folder is an outdated copy. Its contents are
+    /// ignored, and the relay continues as the first incarnation of a new folder.
     pub(in crate::net::owner) fn superseded(&mut self, later: Life, now: Duration) {
         let Some(c) = &mut self.restart else { return };
-        tracing::error!(?later, mine = ?c.life, "this folder is an old copy: nothing that it shows is acted on");
+        tracing::error!(?later, mine = ?c.life, "this folder is an outdated copy; its contents are ignored");
         let born = (now.as_secs() as u32).max(later.born).saturating_add(1);
         c.life = Life { born, folder: c.rng.next_u32(), start: 1, ..c.life };
         c.cold_until = now + self.cold_time;
@@ -16,7 +16,7 @@
         let durability = self.journal.durability();
         let started = Record::Started(Started { life, node, boot, durability, at: now });
         if let Err(e) = self.journal.write(&[started]).and_then(|()| self.journal.sync_all()) {
-            tracing::error!("journal: {e}");
+            tracing::error!("journal: write failed: {e}");
         }
         if let Some(fleet) = &mut self.fleet {
             fleet.complete_since = now;
@@ -51,7 +51,7 @@
             }
         }
         if let Err(e) = self.journal.write(&records) {
-            tracing::error!("journal: {e}");
+            tracing::error!("journal: write failed: {e}");
         }
         if let Some(fleet) = &mut self.fleet {
             fleet.book =
--- a/src/net/owner/restart/states.rs
+++ b/src/net/owner/restart/states.rs
@@ -1,15 +1,15 @@
-//! The states of a return: what ends each, and what is done as it is entered.
+//! States of the restart recovery: their end conditions and entry actions.
 
 use super::*;
 
 impl Owner {
-    /// How long the others may still be asked.
+    /// Remaining time for requests to other relays.
     pub(in crate::net::owner) fn asking_left(&self, now: Duration) -> Option<Duration> {
         let c = self.restart.as_ref().filter(|c| c.ret.stage() == RecoveryStage::AskingPeers)?;
         Some(c.asked_until.saturating_sub(now)).filter(|left| !left.is_zero())
     }
 
-    /// All answers may be there.
+    /// Checks whether all answers have arrived.
     pub(in crate::net::owner) fn check_asked(&mut self, now: Duration) {
         let Some(fleet) = self.fleet.as_ref().filter(|f| f.asked.is_empty()) else { return };
         let (sound, has_rev, current) =
@@ -20,7 +20,7 @@
         self.on_restart_event(Event::PeersHeard { sound }, now);
     }
 
-    /// Takes in what happened to the return, and does what follows.
+    /// Applies an event to the recovery and carries out the resulting effects.
     pub(in crate::net::owner) fn on_restart_event(&mut self, event: Event, now: Duration) {
         let Some(effects) = self.restart.as_mut().map(|c| c.ret.on(event, now)) else { return };
         for effect in effects {
@@ -67,7 +67,7 @@
         self.tick_fleet();
     }
 
-    /// The conditions of the present state, as far as they show in what is held.
+    /// Checks the end conditions of the current state that depend on the journal.
     pub(in crate::net::owner) fn check_restart(&mut self) {
         self.write_start();
         let now = self.clock.now();
@@ -96,7 +96,7 @@
         self.restart.as_ref().and_then(|c| c.start_retry_at.or(c.ret.due()))
     }
 
-    /// The list came in a version: it is had once it is not behind what others have.
+    /// A list version was received; it is current once it is not behind the versions of the other relays.
     pub(in crate::net::owner) fn list_received(&mut self, rev: u64) {
         let peer_rev = self.fleet.as_ref().map_or(0, |f| f.peer_list_rev);
         if rev >= peer_rev {
@@ -113,7 +113,7 @@
         self.recover(&flows, loss);
     }
 
-    /// Whether an offer of a class is turned away because service is still returning, and for how long.
+    /// Retry-after time if submissions of a class are rejected because service is still being restored.
     pub(in crate::net::owner) fn restart_retry_after(&mut self, class: usize) -> Option<Duration> {
         let now = self.clock.now();
         let c = self.restart.as_mut()?;
--- a/src/net/owner/run.rs
+++ b/src/net/owner/run.rs
@@ -1,9 +1,9 @@
-//! The owner's loop: what comes in is taken, then a step is made.
+//! Main loop of the owner: receives messages, then runs a step.
 
 use super::*;
 
 impl Owner {
-    /// Runs until the program has drained, or another process goes on.
+    /// Runs until the program has drained or another process has taken over.
     pub async fn run(mut self) -> Ended {
         self.step();
         loop {
@@ -46,7 +46,7 @@
             }
             let late = self.clock.now().saturating_sub(due.max(now));
             if late >= STALL {
-                tracing::warn!("the thread did not get to run for {late:?}");
+                tracing::warn!("the owner thread was delayed by {late:?}");
             }
             for _ in 1..BATCH {
                 match self.queue.try_recv() {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Wakes the core if that is due.
+    /// Wakes the core if a wake-up is due.
     pub(super) fn wake_if_due(&mut self) {
         if self.wakes.take_due(self.clock.now()) {
             self.core.wake();
--- a/src/net/owner/step.rs
+++ b/src/net/owner/step.rs
@@ -1,9 +1,9 @@
-//! A step: the core decides, what that promises is written down, and then it is carried out.
+//! A step: the core decides, the records of its decisions are written, and then the effects are carried out.
 
 use super::*;
 
 impl Owner {
-    /// Steps the core until it has nothing left to work on, and carries out what it asks for.
+    /// Steps the core until it has no events left, and carries out its effects.
     pub(super) fn step(&mut self) {
         self.begin_resends();
         let mut effects = Vec::new();
@@ -28,14 +28,14 @@
         self.flush_recorder(false);
     }
 
-    /// Writes down first what the effects promise, then does them.
+    /// Writes the records of the effects, then carries them out.
     fn carry_out(&mut self, effects: Vec<Effect<Rc<Parcel>>>) {
         let now = self.clock.now();
         let mut effects = self.accept_groups_together(effects);
         self.fail_expired(&mut effects, now);
         let mut records = std::mem::take(&mut self.unwritten);
         let mut resent = BTreeSet::new();
-        // What is taken on or over is so from this time on, should a later process have to judge by it.
+        // Flows accepted or ended from here on have this time, in case a later process has to decide by it.
         if self.times_written && !effects.is_empty() {
             records.insert(0, Record::Moment(now));
         }
@@ -67,19 +67,21 @@
                 _ => {}
             }
         }
-        // What is kept is on the shelf before the journal has that its flow is over, and a resend's end as well.
+        // A kept message is in the message store before the journal records the end of its flow; the same holds for the
+        // end of a resend.
         records.extend(self.write_kept_messages().into_iter().map(|no| Record::Ended(no, None)));
         let began = self.clock.now();
         let lasting = self.journal.write(&records);
-        // A told wait holds nothing back, but is to outlast a loss of power soon.
+        // A reported wait delays no step, but should soon survive a power failure.
         let soon = records.iter().any(|r| matches!(r, Record::Wait(..)));
         let took = self.clock.now().saturating_sub(began);
         if took >= STALL {
-            tracing::warn!("journal: a write took {took:?}; all else stood still");
+            tracing::warn!("journal: a write blocked the owner for {took:?}");
         }
         if let Err(e) = &lasting {
-            tracing::error!("journal: {e}; new flows are turned down");
-            // Ends are written as soon as that works again; what was to be taken was not, nor was it sent.
+            tracing::error!("journal: write failed: {e}; new flows are rejected");
+            // Records of ends are written once the journal works again; flows whose acceptance was not written were
+            // neither accepted nor sent.
             let not_taken = |no: &FlowNo| records.iter().any(|r| matches!(r, Record::Taken(n, _) if n == no));
             let keep = |r: &&Record| match r {
                 Record::Ended(no, _) | Record::Bounced(no, ..) | Record::CallEnded(no, _) => !not_taken(no),
--- a/src/net/owner/step_recorder.rs
+++ b/src/net/owner/step_recorder.rs
@@ -1,7 +1,7 @@
-//! What the owner tells the recorder: all that goes into a step, and all that comes out of it.
+//! Passes the inputs and outputs of each step to the trace recorder.
 //!
-//! What happens to each flow is put down as a [`Fact`], and events are made of many facts at once. A relay that is not
-//! busy sleeps between messages, and finds its caches cold: made one by one, events cost several times as much.
+//! Events of individual flows are stored as a [`Fact`], and many facts are encoded together. A relay with little load
+//! sleeps between messages and finds its caches cold, so encoding one event at a time costs several times as much.
 
 mod effects;
 
@@ -11,10 +11,10 @@
 use crate::net::trace::scribe::{Incoming, Scribe};
 use onyxstile_trace::events::{Stage, Why};
 
-/// Facts of which events are made at once, about.
+/// Approximate number of facts that are encoded together.
 const FACTS: usize = 128;
 
-/// What happens to most flows.
+/// Frequent event of a flow.
 #[derive(Debug)]
 enum Fact {
     Offered(FlowNo, FlowTerms, Duration, Rc<Parcel>),
@@ -24,7 +24,7 @@
     Ended(FlowNo, End, bool),
 }
 
-/// A scribe, and where its events go.
+/// A trace encoder and the recorder that receives its events.
 #[derive(Debug)]
 pub struct StepRecorder {
     pub(super) scribe: Scribe,
@@ -33,24 +33,24 @@
 }
 
 impl StepRecorder {
-    /// One that has seen nothing.
+    /// Creates a recorder without any facts.
     pub fn new(scribe: Scribe, recorder: Recorder) -> StepRecorder {
         StepRecorder { scribe, recorder, facts: Vec::with_capacity(2 * FACTS) }
     }
 
-    /// What takes the events.
+    /// Returns the recorder of the events.
     pub fn into_recorder(self) -> Recorder {
         self.recorder
     }
 
-    /// When events have to be made, or handed over.
+    /// Time at which facts must be encoded or events passed on.
     fn due(&self) -> Option<Duration> {
         let first = self.facts.first().map(|(at, _)| *at + self.recorder.patience());
         first.into_iter().chain(self.recorder.due()).min()
     }
 
-    /// Makes events of all facts.
-    fn tell(&mut self, directory: &Directory, independent_routes: &[bool]) {
+    /// Encodes all stored facts.
+    fn encode_facts(&mut self, directory: &Directory, independent_routes: &[bool]) {
         let StepRecorder { scribe, facts, .. } = self;
         for (at, fact) in facts.drain(..) {
             scribe.pass(at);
@@ -74,11 +74,11 @@
 }
 
 impl Owner {
-    /// The scribe, for what does not happen with each flow: all facts before it are told first, so that events are in
-    /// their order and the directory still has the servers that they name.
+    /// The trace encoder, for events that are not stored as facts. All stored facts are encoded first, so that the
+    /// events stay in order and the directory still contains the servers that they name.
     pub(super) fn scribe(&mut self) -> Option<&mut Scribe> {
         let recorder = self.recorder.as_mut()?;
-        recorder.tell(&self.directory, &self.independent_routes);
+        recorder.encode_facts(&self.directory, &self.independent_routes);
         Some(&mut recorder.scribe)
     }
 
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Something other than an offer came in.
+    /// Records an input other than a submission.
     pub(super) fn record_input(&mut self, message: &OwnerMessage) {
         if self.recorder.is_none() {
             return;
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Flows were handed in and turned away before they had numbers: one of an offer, or all.
+    /// Records submitted flows that were rejected before a number was assigned: the flow `which`, or all of the
+    /// submission.
     pub(super) fn record_rejection(&mut self, offer: &Submission, which: Option<usize>, verdict: Verdict) {
         let (why, wait) = match verdict {
             Verdict::Accepted => return,
@@ -154,7 +155,7 @@
         }
     }
 
-    /// A flow has its number: it is offered to the core.
+    /// Records a numbered flow that is submitted to the core.
     pub(super) fn record_submission(
         &mut self, no: FlowNo, terms: &FlowTerms, deadline: Duration, parcel: &Rc<Parcel>,
     ) {
@@ -164,7 +165,7 @@
         }
     }
 
-    /// A flow was taken up: one that an earlier process left, or a notification that is a flow of its own.
+    /// Records a restored flow: one left by an earlier process, or a notification that is a flow of its own.
     pub(super) fn record_restored(
         &mut self, no: FlowNo, terms: &FlowTerms, flow: &TakenFlow, past: Option<Past>,
     ) {
@@ -180,7 +181,7 @@
         }
     }
 
-    /// The program's phase.
+    /// Records the phase of the program.
     pub(super) fn record_phase(&mut self, stage: Stage) {
         let now = self.clock.now();
         if let Some(scribe) = self.scribe() {
@@ -188,18 +189,18 @@
         }
     }
 
-    /// When the recorder has to be given what it has.
+    /// Time at which the recorder must be flushed.
     pub(super) fn recorder_due(&self) -> Option<Duration> {
         self.recorder.as_ref().and_then(StepRecorder::due)
     }
 
-    /// The end of a step: once there is enough, or it has waited long enough, events are made and handed over; `last`:
-    /// in any case.
+    /// End of a step: encodes the facts and passes the events on, if there are enough of them or they have waited long
+    /// enough; `last` does so in any case.
     pub(super) fn flush_recorder(&mut self, last: bool) {
         let Some(recorder) = &mut self.recorder else { return };
         let now = self.clock.now();
         if recorder.facts.len() >= FACTS || last || recorder.due().is_some_and(|due| due <= now) {
-            recorder.tell(&self.directory, &self.independent_routes);
+            recorder.encode_facts(&self.directory, &self.independent_routes);
             recorder.scribe.pass(now);
             recorder.recorder.take(recorder.scribe.made(), now);
         }
--- a/src/net/owner/step_recorder/effects.rs
+++ b/src/net/owner/step_recorder/effects.rs
@@ -1,9 +1,9 @@
-//! What comes out of a step, told to the recorder.
+//! Records the effects of a step.
 
 use super::*;
 
 impl Owner {
-    /// The effects of a step, which are about to be carried out; `lasting`: their records are written.
+    /// Records the effects of a step before they are carried out; `lasting`: their journal records are written.
     pub(in crate::net::owner) fn record_effects(
         &mut self, effects: &[Effect<Rc<Parcel>>], lasting: bool, now: Duration, resent: &BTreeSet<FlowNo>,
     ) {
--- a/src/net/owner/submissions.rs
+++ b/src/net/owner/submissions.rs
@@ -1,10 +1,10 @@
-//! Offers: what is looked at before a flow is handed to the core, and the verdicts.
+//! Submissions: checks before flows are passed to the core, and their verdicts.
 
 use super::drain::retry_after;
 use super::*;
 
 impl Owner {
-    /// What is to be said at once of an offer, if anything.
+    /// Immediate verdict on a submission, if there is one.
     pub(super) fn check_submission(&mut self, offer: &Submission) -> Option<Verdict> {
         self.last_submission = self.clock.now();
         let items = &offer.items;
@@ -21,10 +21,10 @@
             .iter()
             .any(|(_, p)| self.ids.get(&p.id).is_some_and(|no| self.pending_submissions.contains_key(no)))
         {
-            // One of that id waits for its verdict; nothing can be promised in its name.
+            // A flow with this id still waits for its verdict, so no verdict can be given for this one.
             Some(Verdict::Unknown("the id"))
         } else if items.iter().all(|(_, p)| self.ids.contains_key(&p.id)) {
-            // Taken on before, and the answer was lost on its way: it is not a second flow.
+            // Accepted before, and the answer was lost: this is not a second flow.
             Some(Verdict::Accepted)
         } else if let Some(verdict) = self.earlier_verdict(items) {
             Some(verdict)
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Answers an offer at once, or takes it.
+    /// Answers a submission immediately or passes it on.
     pub(super) fn handle_submission(&mut self, offer: Submission) {
         match self.check_submission(&offer) {
             Some(verdict) => {
@@ -51,14 +51,14 @@
         }
     }
 
-    /// Hands the flows of an offer to the core, but for those that scripts turn down.
+    /// Passes the flows of a submission to the core, except those that scripts reject.
     pub(super) fn submit(&mut self, offer: Submission) {
         let tenant_no = offer.tenant.as_ref().and_then(|t| position(&self.names.tenants, t)).map(TenantId);
         let class_no = position(&self.names.classes, &offer.class).unwrap_or_default();
         let mut turned_down = vec![None; offer.items.len()];
         let mut views = Vec::new();
-        // Scripts come after all that could refuse it and before anything is promised: they can only add a
-        // turn-down. Where one verdict holds for all, so does that.
+        // Scripts run after all other checks and before anything is promised: they can only add rejections. If a single
+        // verdict applies to all flows, a rejection does as well.
         if !self.hooks.is_empty() {
             for (i, (destination, parcel)) in offer.items.iter().enumerate() {
                 let mut view = view(&offer.class, offer.tenant.as_deref(), *destination, parcel);
@@ -75,7 +75,7 @@
         }
         let Submission { class, tenant, deadline, items, together, reply, .. } = offer;
         let group = self.next;
-        // One moment for all: what was handed in together is as urgent and goes out in the order given.
+        // One time for all: flows submitted together have the same urgency and are sent in the given order.
         let remaining = deadline.saturating_sub(self.clock.now());
         let verdicts: Vec<_> = turned_down.iter().map(|w| w.map(Verdict::Rejected)).collect();
         if let Some(all) = verdicts.iter().copied().collect() {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// What makes it impossible to keep the rules for flows of a class, if anything.
+    /// Reason why the rules of a class cannot be met for these flows, if any.
     fn unusable(
         &self, class: usize, deadline: Duration, items: &[(DestinationId, Rc<Parcel>)],
     ) -> Option<&'static str> {
@@ -113,7 +113,7 @@
         let over = deadline.saturating_sub(self.clock.now()) > *longest * 2;
         let plain = |p: &Parcel| p.mail.is_none();
         items.iter().find_map(|(to, p)| match p {
-            // What no list ever named could only be held until its time is up.
+            // A destination that was never listed could only be held until its deadline.
             _ if !self.directory.was_named(*to) => Some("the destination"),
             p if plain(p) && keyed && p.key.is_none() => Some("no key"),
             p if plain(p) && over => Some("the time left"),
@@ -121,7 +121,7 @@
         })
     }
 
-    /// Tells the verdict on one flow; the client hears it once all of its group are there.
+    /// Sets the verdict on one flow; the client receives the verdicts once those of its whole group are known.
     pub(super) fn settle(&mut self, no: FlowNo, verdict: Verdict) {
         let Some(PendingSubmission { group, index, .. }) = self.pending_submissions.remove(&no) else {
             return;
@@ -132,13 +132,13 @@
         if let Some(verdicts) = verdicts
             && let Some(g) = self.groups.remove(&group)
         {
-            // The client may be gone; what was taken stays taken.
+            // The client may have disconnected; accepted flows stay accepted.
             let _ = g.reply.send(verdicts);
         }
     }
 
-    /// Guards the one verdict of flows handed in together: where some are taken, the others are taken too and
-    /// end at once, each with what is owed for it.
+    /// Keeps the single verdict of flows submitted together: if some are accepted, the others are accepted too and end
+    /// at once, each with its notice.
     pub(super) fn accept_groups_together(&self, effects: Vec<Effect<Rc<Parcel>>>) -> Vec<Effect<Rc<Parcel>>> {
         let group = |no: &FlowNo| self.pending_submissions.get(no).map(|w| w.group);
         let joint = |g: &u64| self.groups.get(g).is_some_and(|g| g.together);
--- a/src/net/owner/text.rs
+++ b/src/net/owner/text.rs
@@ -1,4 +1,4 @@
-//! Words for what scripts, the log and the ledger are told.
+//! Text representations for scripts, the log and the ledger.
 
 use super::*;
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// Whether whoever handed a flow in is owed word of its end. Of mail a notification is a flow of its own.
+/// Whether the submitter must be notified of this end. For mail the notification is a flow of its own.
 pub(super) fn needs_notice(parcel: &Parcel, end: End) -> bool {
     parcel.mail.is_none() && matches!(end, End::Failed | End::Returned(_))
 }
--- a/src/net/owner/undelivered.rs
+++ b/src/net/owner/undelivered.rs
@@ -1,34 +1,35 @@
-//! The owner's part in keeping messages that it gave up, and in sending them again.
+//! Keeps messages that could not be delivered, and resends them.
 //!
-//! Order is all here. A message is on the shelf before its flow's end is in the journal. A resend is on the shelf as
-//! begun before its flow is in the journal, and that before its call goes out. A resend's end is on the shelf before it
-//! is in the journal. So whatever a kill leaves, either the journal has the flow, and the module decides as after any
-//! restart, or no call of it ever went out, or the shelf knows how it ended.
+//! The order of writes matters. A message is in the message store before the end of its flow is in the journal. A
+//! resend is marked as begun in the store before its flow is in the journal, and that is written before its call is
+//! sent. The end of a resend is in the store before it is in the journal. So after a kill at any point, either the
+//! journal has the flow and the module decides as after any restart, or no call of it was sent, or the store has its
+//! result.
 
 use super::*;
 use crate::net::undelivered::MachineClock;
 use crate::net::undelivered::keeper::Keeper;
 use onyxstile_undelivered::{Body, Kept, Ran, State, Traffic};
 
-/// Part of the slots that resends may take, and of the flows held: one in so many.
+/// Resends may use one in this many of the call slots, and of the held flows.
 const SLOTS_SHARE: usize = 4;
 const HELD_SHARE: usize = 2;
-/// Resends that begin in one step, at most.
+/// Maximum number of resends begun in one step.
 const AT_ONCE: usize = 4;
-/// How long a destination is passed over that is not known, or has no room.
+/// How long a destination is skipped that is unknown or has no capacity.
 const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// A resend that is under way.
+/// A resend in progress.
 #[derive(Debug)]
 pub(super) struct Resend {
-    /// The message that it is of.
+    /// Key of the message.
     pub key: u64,
-    /// As the journal has it.
+    /// The flow as recorded in the journal.
     pub flow: TakenFlow,
 }
 
 impl Owner {
-    /// A call ended, of whatever flow: what it shows of its destination.
+    /// Passes the outcome of a call to the resend planner as an observation of its destination.
     pub(super) fn record_traffic(&mut self, end: &CallEnd) {
         let Some(keeper) = &mut self.keeper else { return };
         let Some(destination) = self.flow_infos.get(&end.flow).map(|p| p.destination) else { return };
@@ -40,8 +41,8 @@
         keeper.planner.traffic(destination.0, what, self.clock.now());
     }
 
-    /// What is known of whether a flow that ends has run. `refused`: the call that the ledger may show as out is
-    /// proved not to have.
+    /// Whether a flow that ends may have run. `refused`: a call that the ledger may show as sent is proved not to have
+    /// run.
     fn ran(&self, no: FlowNo, refused: bool, now: Duration, machine: &MachineClock) -> Ran {
         if self.refused_for_good(no) {
             return Ran::Never;
@@ -53,14 +54,13 @@
         }
     }
 
-    /// A mail server's 5yz is its word that it did not take the message, and that it never will (RFC 5321, 4.2.1).
+    /// A 5yz reply states that the mail server did not accept the message and never will (RFC 5321, 4.2.1).
     fn refused_for_good(&self, no: FlowNo) -> bool {
         self.replies.get(&no).is_some_and(|s| s.starts_with('5'))
     }
 
-    /// An ordinary flow ends: it is kept, if it failed and a rule says so.
-    /// Where nobody comes again with a flow whose time is up, being handed back is no end: mail has its
-    /// notification, and what is kept goes again by itself, which would make two of it.
+    /// Turns a return into a failure if the flow's time is up and no client will submit it again: mail gets its
+    /// notification, and a kept message is resent by the relay, so a client's retry would duplicate it.
     pub(super) fn fail_expired(&self, effects: &mut [Effect<Rc<Parcel>>], now: Duration) {
         for effect in effects {
             let Effect::Ended(no, parcel, end) = effect else { continue };
@@ -73,6 +73,7 @@
         }
     }
 
+    /// Ends an ordinary flow: if it failed and a rule applies, its message is kept.
     pub(super) fn keep_failed(&mut self, no: FlowNo, end: End, refused: bool, now: Duration) {
         let Some(mut keeper) = self.keeper.take() else { return };
         if end == End::Failed {
@@ -95,7 +96,7 @@
         let class = position(&self.names.classes, &flow.class).and_then(|c| self.classes.get(c));
         let window = match class.map(|c| c.0) {
             Some(crate::api::Effect::Keyed { window, .. }) => window,
-            // Harmless at any time.
+            // May be repeated safely at any time.
             Some(crate::api::Effect::Repeatable) => Duration::from_secs(u64::MAX >> 32),
             _ => Duration::ZERO,
         };
@@ -128,13 +129,13 @@
         (kept, body)
     }
 
-    /// A resend ended, or was not taken on: what becomes of its message.
+    /// Updates the message of a resend that ended or was not accepted.
     pub(super) fn settle_resend(&mut self, no: FlowNo, end: Option<End>, refused: bool, now: Duration) {
         let Some(resend) = self.resends.get(&no) else { return };
         let Some(mut keeper) = self.keeper.take() else { return };
         let (key, stamp) = (resend.key, keeper.machine.stamp(now));
         let delivered = matches!(end, Some(End::Delivered | End::Over));
-        // Held by the module to its end, it showed nothing of its destination, and was no try.
+        // Held by the module until its end: says nothing about the destination and does not count as a try.
         let sent = self.journal.ledger().open.get(&no).is_some_and(|(_, p)| p.attempts > 0);
         if delivered || sent {
             keeper.planner.resend_ended(key, delivered, now);
@@ -161,7 +162,7 @@
             }
             keeper.put(&kept);
         } else {
-            tracing::error!(key, "undelivered: a message cannot be read; it is not sent again");
+            tracing::error!(key, "undelivered: a message cannot be read and is not resent");
             keeper.planner.remove(key);
         }
         self.replies.remove(&no);
@@ -169,12 +170,13 @@
         self.resend_ends.push(no);
     }
 
-    /// Writes what the step changed on the shelf; the resends whose ends may be written to the journal now.
+    /// Writes the changes of the step to the message store; returns the resends whose ends may now be written to the
+    /// journal.
     pub(super) fn write_kept_messages(&mut self) -> Vec<FlowNo> {
         let Some(keeper) = &mut self.keeper else { return Vec::new() };
         let began = self.clock.now();
         let done = keeper.write(std::mem::take(&mut self.resend_ends), false).unwrap_or_else(|e| {
-            tracing::error!("undelivered: {e}; tried again in the next step");
+            tracing::error!("undelivered: write failed: {e}; retrying in the next step");
             Vec::new()
         });
         for no in &done {
@@ -187,7 +189,7 @@
         done
     }
 
-    /// Begins what may go now. Each is on the shelf as begun before the core hears of it.
+    /// Begins due resends. Each is marked as begun in the message store before it is submitted to the core.
     pub(super) fn begin_resends(&mut self) {
         if self.restart.as_ref().is_some_and(|c| !c.kept) {
             return;
@@ -196,7 +198,8 @@
         let Some(mut keeper) = self.keeper.take() else { return };
         if keeper.due() <= now {
             keeper.tidy(now);
-            // Nothing begins in a relay that ends; but a look was taken, or the owner would never sleep again.
+            // A draining relay begins no resends, but marks the check as done; otherwise the owner would never sleep
+            // again.
             let most = if self.phase.state() == crate::net::phase::State::Serving { AT_ONCE } else { 0 };
             for _ in 0..most {
                 let slots = (self.max_calls / SLOTS_SHARE).max(1);
@@ -216,13 +219,13 @@
         self.keeper = Some(keeper);
     }
 
-    /// Begins one; false: not now.
+    /// Begins a resend; false if it is not possible now.
     fn begin_resend(&mut self, keeper: &mut Keeper, key: u64, now: Duration) -> bool {
         let stamp = keeper.machine.stamp(now);
         let (mut kept, body) = match (keeper.shelf.get(key), keeper.shelf.body(key)) {
             (Ok(Some(kept)), Ok(Some(body))) => (kept, body),
             (kept, _) => {
-                tracing::error!(key, "undelivered: a message cannot be read; it is set aside");
+                tracing::error!(key, "undelivered: a message cannot be read and is put on hold");
                 let mut kept = kept.ok().flatten();
                 match kept.as_mut().map(|k| k.hold("the relay: it cannot be read", stamp)) {
                     Some(Ok(())) => kept.iter().for_each(|k| keeper.put(k)),
@@ -232,7 +235,7 @@
             }
         };
         if !kept.may_go(stamp) {
-            // Its window has passed while it waited.
+            // The window in which it may be repeated has passed.
             kept.set_state(State::MayHaveRun);
             kept.note(stamp, "its window has passed; may-have-run", "");
             keeper.put(&kept);
@@ -252,7 +255,7 @@
         }
         keeper.put(&kept);
         if let Err(e) = keeper.write(Vec::new(), true) {
-            tracing::error!("undelivered: {e}; no resend begins");
+            tracing::error!("undelivered: write failed: {e}; the resend is postponed");
             keeper.take_back(&kept);
             kept.not_begun(RETRY_DELAY, stamp);
             keeper.plan(&kept);
--- a/src/net/phase.rs
+++ b/src/net/phase.rs
@@ -1,42 +1,43 @@
-//! Where the program stands between its start and its exit.
+//! Phase of the program between its start and its exit.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The named states, in their order.
+/// Phases in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
     /// Reading its configuration.
     Starting,
     /// Reading the journal.
     Recovering,
-    /// Taking flows.
+    /// Accepting flows.
     Serving,
-    /// Told to end: no longer ready, takes flows on for a while yet, and leaves what is open to the next process.
+    /// Shutdown requested: no longer ready, accepts flows for a limited time, and leaves open flows to the next
+    /// process.
     Draining,
-    /// Another process has everything; told to end, this one does.
+    /// Another process has taken over; this one exits on request.
     Handed,
     /// About to exit.
     Stopped,
 }
 
-/// The one object that holds the state. It only ever moves on.
+/// Shared holder of the phase, which only advances.
 #[derive(Debug, Clone)]
 pub struct Phase(Rc<(Cell<State>, Notify)>);
 
 impl Phase {
-    /// A program at its start.
+    /// Creates the phase of a starting program.
     pub fn new() -> Self {
         Phase(Rc::new((Cell::new(State::Starting), Notify::new())))
     }
 
-    /// The present state.
+    /// Current phase.
     pub fn state(&self) -> State {
         self.0.0.get()
     }
 
-    /// Moves on to a later state; false if that state or a later one has been reached before.
+    /// Advances to a later phase; false if that phase or a later one has already been reached.
     pub fn advance(&self, to: State) -> bool {
         let from = self.state();
         if to <= from {
@@ -48,7 +49,7 @@
         true
     }
 
-    /// Returns once `state` or a later one is reached.
+    /// Waits until `state` or a later phase is reached.
     pub async fn reached(&self, state: State) {
         loop {
             let changed = self.0.1.notified();
@@ -60,25 +61,25 @@
     }
 }
 
-/// Whether clients are sent away. It stands beside the phase, which only moves on: this can be undone.
+/// Whether clients are sent away. Unlike the phase, this can be undone.
 #[derive(Debug, Clone, Default)]
 pub struct Evacuation(Rc<(Cell<bool>, Notify)>);
 
 impl Evacuation {
-    /// Whether clients are sent away now.
+    /// Whether clients are currently sent away.
     pub fn is_on(&self) -> bool {
         self.0.0.get()
     }
 
-    /// Begins or ends it; doing so twice changes nothing.
+    /// Starts or stops sending clients away; a repeated call has no effect.
     pub fn set(&self, on: bool) {
         if self.0.0.replace(on) != on {
-            tracing::info!("{}", if on { "clients are sent away" } else { "clients are welcome again" });
+            tracing::info!("{}", if on { "clients are sent away" } else { "clients are accepted again" });
             self.0.1.notify_waiters();
         }
     }
 
-    /// Returns once clients are sent away.
+    /// Waits until clients are sent away.
     pub async fn begun(&self) {
         loop {
             let changed = self.0.1.notified();
