--- a/src/net/owner/claims.rs
+++ b/src/net/owner/claims.rs
@@ -23,8 +23,8 @@
 
 #[derive(Debug)]
 struct Open {
-    offer: Submission,
-    heard: BTreeMap<NodeNo, MayKnow>,
+    submission: Submission,
+    answers: BTreeMap<NodeNo, MayKnow>,
     left: usize,
 }
 
@@ -36,32 +36,34 @@
 
 impl Owner {
     /// Holds back a repeated submission if the other relays have to be asked about it first; otherwise returns it.
-    pub(super) fn claim(&mut self, offer: Submission) -> Result<(), Submission> {
+    pub(super) fn claim(&mut self, submission: Submission) -> Result<(), Submission> {
         let now = self.clock.now();
-        let class = position(&self.names.classes, &offer.class).and_then(|c| self.classes.get(c));
+        let class = position(&self.names.classes, &submission.class).and_then(|c| self.classes.get(c));
         let free = class.is_none_or(|c| c.0 == crate::api::Effect::Repeatable);
-        let Some(fleet) = self.fleet.as_mut().filter(|_| offer.repeat && !free) else { return Err(offer) };
+        let Some(fleet) = self.fleet.as_mut().filter(|_| submission.repeat && !free) else {
+            return Err(submission);
+        };
         if fleet.claims.open.len() >= MAX_OPEN_CLAIMS {
-            let _ = offer.reply.send(vec![Verdict::Rejected(CLAIM_RETRY_AFTER); offer.items.len()]);
+            let _ = submission.reply.send(vec![Verdict::Rejected(CLAIM_RETRY_AFTER); submission.items.len()]);
             return Ok(());
         }
-        let known = offer.items.iter().any(|(_, p)| self.ids.contains_key(&p.id));
-        if known || fleet.book.fate(id_digest(&offer.items[0].1.id)).is_some() {
-            return Err(offer);
+        let known = submission.items.iter().any(|(_, p)| self.ids.contains_key(&p.id));
+        if known || fleet.book.fate(id_digest(&submission.items[0].1.id)).is_some() {
+            return Err(submission);
         }
-        let ids: Vec<u64> = offer.items.iter().map(|(_, p)| id_digest(&p.id)).collect();
+        let ids: Vec<u64> = submission.items.iter().map(|(_, p)| id_digest(&p.id)).collect();
         fleet.claims.last += 1;
         let claim = fleet.claims.last;
-        let mut open = Open { offer, heard: BTreeMap::new(), left: 0 };
+        let mut open = Open { submission, answers: BTreeMap::new(), left: 0 };
         // This relay, like any other, may have lost flows that it had accepted.
-        open.heard.insert(NodeNo(u16::MAX), MayKnow::Unknown(fleet.book.whole_for(now)));
+        open.answers.insert(NodeNo(u16::MAX), MayKnow::Unknown(fleet.book.whole_for(now)));
         for node in fleet.peers.others() {
             match fleet.peers.ask(node, Question::Ids(ids.clone()), now, PEER_TIMEOUT) {
                 Some(number) => {
                     fleet.claims.asked.insert(number, claim);
                     open.left += 1;
                 }
-                None => drop(open.heard.insert(node, silent(&fleet.peers, node, now))),
+                None => drop(open.answers.insert(node, silent(&fleet.peers, node, now))),
             }
         }
         fleet.claims.open.insert(claim, open);
@@ -84,7 +86,7 @@
         let now = self.clock.now();
         let Some(fleet) = &mut self.fleet else { return };
         let Some(claim) = fleet.claims.asked.remove(&number) else { return };
-        let knows = match heard {
+        let knowledge = match heard {
             Heard::Answer(Answer::Ids(fates, whole_s)) => match fates.into_iter().flatten().max() {
                 Some(fate) => MayKnow::Fate(fate),
                 None => MayKnow::Unknown(Duration::from_secs(whole_s.into())),
@@ -93,7 +95,7 @@
         };
         if let Some(open) = fleet.claims.open.get_mut(&claim) {
             open.left -= 1;
-            open.heard.insert(node, knows);
+            open.answers.insert(node, knowledge);
         }
         self.settle_claim(claim);
     }
@@ -101,22 +103,22 @@
     fn settle_claim(&mut self, claim: u64) {
         let Some(fleet) = &mut self.fleet else { return };
         let Some(open) = fleet.claims.open.get(&claim) else { return };
-        let class = position(&self.names.classes, &open.offer.class).and_then(|c| self.classes.get(c));
+        let class = position(&self.names.classes, &open.submission.class).and_then(|c| self.classes.get(c));
         let life = class.map_or(Duration::ZERO, |c| c.1);
-        let heard: Vec<_> = open.heard.values().copied().collect();
-        let is = decide(&heard, life);
+        let answers: Vec<_> = open.answers.values().copied().collect();
+        let decision = decide(&answers, life);
         // One relay that has the flow decides the claim; ruling it out requires all answers.
-        if open.left > 0 && !matches!(is, Claim::Theirs | Claim::Over) {
+        if open.left > 0 && !matches!(decision, Claim::Theirs | Claim::Over) {
             return;
         }
-        let Some(Open { offer, .. }) = fleet.claims.open.remove(&claim) else { return };
-        tracing::debug!(id = offer.items.first().map(|(_, p)| p.id.as_str()), ?is, ?heard, "claim decided");
-        let verdict = match is {
-            Claim::Free => return self.handle_submission(offer),
+        let Some(Open { submission, .. }) = fleet.claims.open.remove(&claim) else { return };
+        tracing::debug!(id = submission.items.first().map(|(_, p)| p.id.as_str()), is = ?decision, heard = ?answers, "claim decided");
+        let verdict = match decision {
+            Claim::Free => return self.handle_submission(submission),
             Claim::Theirs => Verdict::Accepted,
             Claim::Over => Verdict::Failed,
             Claim::Later => Verdict::Rejected(CLAIM_RETRY_AFTER),
         };
-        let _ = offer.reply.send(vec![verdict; offer.items.len()]);
+        let _ = submission.reply.send(vec![verdict; submission.items.len()]);
     }
 }
--- a/src/net/owner/fleet.rs
+++ b/src/net/owner/fleet.rs
@@ -109,12 +109,12 @@
             now,
         };
         let before = fleet.peers.counts().dropped;
-        let said = fleet.peers.take(bytes, &view, now);
+        let effects = fleet.peers.take(bytes, &view, now);
         if fleet.peers.counts().dropped > before {
             fleet.dropped(from, bytes.len());
         }
         self.fleet = Some(fleet);
-        self.apply_peer_effects(said, now);
+        self.apply_peer_effects(effects, now);
     }
 
     /// Runs the periodic work of the exchange when it is due.
@@ -123,8 +123,10 @@
             return;
         }
         let now = self.clock.now();
-        if let Some(said) = self.fleet.as_mut().filter(|f| f.peers.next() <= now).map(|f| f.peers.tick(now)) {
-            self.apply_peer_effects(said, now);
+        if let Some(effects) =
+            self.fleet.as_mut().filter(|f| f.peers.next() <= now).map(|f| f.peers.tick(now))
+        {
+            self.apply_peer_effects(effects, now);
         }
     }
 
@@ -132,9 +134,9 @@
         self.fleet.as_ref().filter(|_| self.has_started()).map(|f| f.peers.next())
     }
 
-    fn apply_peer_effects(&mut self, said: Vec<PeerEffect>, now: Duration) {
-        for said in said {
-            match said {
+    fn apply_peer_effects(&mut self, effects: Vec<PeerEffect>, now: Duration) {
+        for effect in effects {
+            match effect {
                 PeerEffect::Send(to, bytes) => {
                     if let Some(fleet) = &self.fleet {
                         fleet.link.send(to, &bytes);
@@ -204,8 +206,8 @@
 
     /// Switches to another incarnation.
     pub(super) fn use_incarnation(&mut self, life: Life, now: Duration) {
-        if let Some(said) = self.fleet.as_mut().map(|f| f.peers.become_life(life, now)) {
-            self.apply_peer_effects(said, now);
+        if let Some(effects) = self.fleet.as_mut().map(|f| f.peers.become_life(life, now)) {
+            self.apply_peer_effects(effects, now);
         }
     }
 }
--- a/src/net/owner/handover.rs
+++ b/src/net/owner/handover.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 /// Interval at which the owner checks its queue while tasks release their sockets.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Owner {
     /// Transfers the complete state to another process. Returns the peer once that process has taken over; otherwise
@@ -22,13 +22,13 @@
             return None;
         }
         self.parking.open();
-        let event = if self.parked(&mut peer).await { ToGiver::Parked } else { ToGiver::Late };
+        let event = if self.wait_for_release(&mut peer).await { ToGiver::Parked } else { ToGiver::Late };
         let mut parked = self.parking.close();
         parked.idle = self.upstream.park_idle();
         if giver.on(event) == Give::Offer {
             self.trim(&mut parked);
             let event = match self.state(&mut parked) {
-                Ok(state) => offer(&mut peer, &state, &parked).await,
+                Ok(state) => send_state(&mut peer, &state, &parked).await,
                 Err(why) => {
                     tracing::warn!("not handed over: {why}");
                     let _ = timeout(READY_TIME, peer.say(Kind::Later, why.as_bytes())).await;
@@ -54,7 +54,7 @@
     }
 
     /// Waits until every task has released its socket or ended and all of their results are processed.
-    async fn parked(&mut self, peer: &mut Peer) -> bool {
+    async fn wait_for_release(&mut self, peer: &mut Peer) -> bool {
         let until = Instant::now() + PARK_TIME;
         loop {
             while let Ok(message) = self.orders.try_recv() {
@@ -77,7 +77,7 @@
                 biased;
                 Some(message) = self.queue.recv() => self.handle_message(message),
                 () = self.parking.changed() => {}
-                () = sleep_until(Instant::now() + LOOK) => {}
+                () = sleep_until(Instant::now() + POLL_INTERVAL) => {}
             }
         }
     }
@@ -86,12 +86,12 @@
     /// request are dropped first.
     fn trim(&self, parked: &mut Parked) {
         let calls = parked.calls.iter().filter(|c| c.stream.is_some()).count();
-        let room = (self.sockets / 2).saturating_sub(calls);
-        if parked.edges.len() > room {
+        let capacity = (self.sockets / 2).saturating_sub(calls);
+        if parked.edges.len() > capacity {
             parked.edges.sort_by_key(|e| !e.note.served && e.note.read.is_empty());
-            parked.edges.truncate(room);
+            parked.edges.truncate(capacity);
         }
-        parked.idle.truncate(room - parked.edges.len());
+        parked.idle.truncate(capacity - parked.edges.len());
     }
 
     fn state(&self, parked: &mut Parked) -> Result<State, &'static str> {
@@ -206,7 +206,7 @@
 }
 
 /// Sends a copy of the state and the sockets, and waits until the peer has built its own state from it.
-async fn offer(peer: &mut Peer, state: &State, parked: &Parked) -> ToGiver {
+async fn send_state(peer: &mut Peer, state: &State, parked: &Parked) -> ToGiver {
     let Ok(bytes) = write(state) else { return ToGiver::Late };
     if bytes.len() > STATE_MAX {
         tracing::warn!("not handed over: the state has {} bytes", bytes.len());
--- a/src/net/owner/messages.rs
+++ b/src/net/owner/messages.rs
@@ -1,4 +1,4 @@
-//! What reaches the owner: each message taken in before the next step.
+//! Messages to the owner, handled before the next step.
 
 use super::*;
 
@@ -6,9 +6,9 @@
     pub(super) fn handle_message(&mut self, message: OwnerMessage) {
         self.record_input(&message);
         match message {
-            OwnerMessage::Submission(offer) => {
-                if let Err(offer) = self.claim(offer) {
-                    self.handle_submission(offer);
+            OwnerMessage::Submission(submission) => {
+                if let Err(submission) = self.claim(submission) {
+                    self.handle_submission(submission);
                 }
             }
             OwnerMessage::Synced(made) => self.synced(made),
@@ -28,13 +28,14 @@
                     ?limit,
                     "call ended"
                 );
-                // The calls themselves count what they write, but for mail, where several flows share one.
+                // HTTP calls count what they send themselves; a mail call can carry several flows, so these are counted
+                // here.
                 let mail = self.directory.get(end.server).is_some_and(|s| s.wire != Wire::Http);
                 if mail && !end.outcome.never_ran() {
                     self.figures.sent();
                 }
                 self.record_traffic(&end);
-                // Should this never be written, a restart takes the call for one that may have run.
+                // If this record is never written, a restart treats the call as one that may have run.
                 self.unwritten.push(Record::CallEnded(end.flow, end.outcome.never_ran()));
                 if let Some(view) = self.views.get(&end.flow) {
                     let server = self.directory.uid(end.server);
@@ -52,7 +53,7 @@
             }
             OwnerMessage::Probed(server, outcome, limit) => {
                 if matches!(outcome, Outcome::Overloaded { wait: Some(_) }) {
-                    // Told beside a call's end, a wait binds as much.
+                    // A wait reported outside the end of a call has the same effect.
                     self.hold_destination(self.directory.destination(server));
                 }
                 self.core.probe_ended(server, outcome, limit);
@@ -64,7 +65,7 @@
             OwnerMessage::Admin(order, reply) => {
                 let _ = reply.send(self.admin(order));
             }
-            // Only at the top of the loop can all be handed over; whoever asks at another time asks again.
+            // A handover is only possible at the top of the loop; a process that requests one at another time retries.
             OwnerMessage::HandOver(_) => {}
             OwnerMessage::Rules(rules) => {
                 if let Some(keeper) = &mut self.keeper {
@@ -94,7 +95,7 @@
             self.directory.begin_full_list();
         }
         let of_list = list.targets.iter().map(|raw| (raw, Wire::Http));
-        // What the operator names is in no list of discovery's, and does not go with it.
+        // Servers from the operator's file are not part of the discovery list and remain when a list omits them.
         let own = self.fixed.iter().filter(|_| list.all).map(|f| (&f.entry, f.wire));
         if let Some(StepRecorder { scribe, .. }) = &mut self.recorder {
             let entries = of_list.clone().chain(own.clone()).map(|(raw, _)| raw);
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Guards drains: a connection that was being made when the news came may come up long after the time that a drain
-    /// grants, and the call was chosen before.
+    /// Holds calls to servers that accept no new ones: a connection that was being established when the list changed
+    /// may complete long after the time that a drain grants, and its call was assigned before the drain.
     fn hold_leaving(&self) {
         self.hold_unsent(|no| !self.directory.get(no).is_some_and(|s| s.accepts_calls()));
     }
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Takes over what the operator's file says anew, all of it in one moment of one step.
+    /// Applies the reloaded operator's file completely within one step.
     fn take_operator(&mut self, servers: Vec<FixedServer>, routing: Option<Box<Staged>>) {
         if let Some(staged) = routing {
             self.routing.replace(*staged);
--- a/src/net/owner/step_recorder.rs
+++ b/src/net/owner/step_recorder.rs
@@ -128,7 +128,9 @@
 
     /// Records submitted flows that were rejected before a number was assigned: the flow `which`, or all of the
     /// submission.
-    pub(super) fn record_rejection(&mut self, offer: &Submission, which: Option<usize>, verdict: Verdict) {
+    pub(super) fn record_rejection(
+        &mut self, submission: &Submission, which: Option<usize>, verdict: Verdict,
+    ) {
         let (why, wait) = match verdict {
             Verdict::Accepted => return,
             Verdict::Rejected(wait) => (Why::Script, wait),
@@ -137,18 +139,18 @@
             Verdict::Failed => (Why::GivenUp, Duration::ZERO),
             Verdict::Unknown(_) => (Why::NamesUnknown, Duration::ZERO),
         };
-        let (now, class) = (self.clock.now(), position(&self.names.classes, &offer.class));
-        let tenant = offer.tenant.as_ref().and_then(|t| position(&self.names.tenants, t)).map(TenantId);
+        let (now, class) = (self.clock.now(), position(&self.names.classes, &submission.class));
+        let tenant = submission.tenant.as_ref().and_then(|t| position(&self.names.tenants, t)).map(TenantId);
         let Some(scribe) = self.scribe() else { return };
         for (_, (destination, parcel)) in
-            offer.items.iter().enumerate().filter(|(n, _)| which.is_none_or(|w| w == *n))
+            submission.items.iter().enumerate().filter(|(n, _)| which.is_none_or(|w| w == *n))
         {
             let incoming = Incoming {
                 id: &parcel.id,
                 class: class.unwrap_or(usize::MAX),
                 tenant,
                 destination: *destination,
-                deadline: offer.deadline,
+                deadline: submission.deadline,
                 size: parcel.body.len(),
             };
             scribe.turned_away(&incoming, why, wait, now);
--- a/src/net/owner/submissions.rs
+++ b/src/net/owner/submissions.rs
@@ -5,15 +5,15 @@
 
 impl Owner {
     /// Immediate verdict on a submission, if there is one.
-    pub(super) fn check_submission(&mut self, offer: &Submission) -> Option<Verdict> {
+    pub(super) fn check_submission(&mut self, submission: &Submission) -> Option<Verdict> {
         self.last_submission = self.clock.now();
-        let items = &offer.items;
-        let known = position(&self.names.classes, &offer.class);
-        let tenant = offer.tenant.as_ref().is_none_or(|t| position(&self.names.tenants, t).is_some());
+        let items = &submission.items;
+        let known = position(&self.names.classes, &submission.class);
+        let tenant = submission.tenant.as_ref().is_none_or(|t| position(&self.names.tenants, t).is_some());
         let Some(class) = known.filter(|_| tenant) else {
             return Some(Verdict::Unknown(if known.is_none() { "the class" } else { "the account" }));
         };
-        if let Some(what) = self.unusable(class, offer.deadline, items) {
+        if let Some(what) = self.unusable(class, submission.deadline, items) {
             return Some(Verdict::Unknown(what));
         }
         let bytes = items.iter().map(|(_, p)| p.body.len() + 1024).sum();
@@ -40,51 +40,52 @@
     }
 
     /// Answers a submission immediately or passes it on.
-    pub(super) fn handle_submission(&mut self, offer: Submission) {
-        match self.check_submission(&offer) {
+    pub(super) fn handle_submission(&mut self, submission: Submission) {
+        match self.check_submission(&submission) {
             Some(verdict) => {
-                self.count_verdict(&offer.class, verdict, offer.items.len());
-                self.record_rejection(&offer, None, verdict);
-                let _ = offer.reply.send(vec![verdict; offer.items.len()]);
+                self.count_verdict(&submission.class, verdict, submission.items.len());
+                self.record_rejection(&submission, None, verdict);
+                let _ = submission.reply.send(vec![verdict; submission.items.len()]);
             }
-            None => self.submit(offer),
+            None => self.submit(submission),
         }
     }
 
     /// Passes the flows of a submission to the core, except those that scripts reject.
-    pub(super) fn submit(&mut self, offer: Submission) {
-        let tenant_no = offer.tenant.as_ref().and_then(|t| position(&self.names.tenants, t)).map(TenantId);
-        let class_no = position(&self.names.classes, &offer.class).unwrap_or_default();
-        let mut turned_down = vec![None; offer.items.len()];
+    pub(super) fn submit(&mut self, submission: Submission) {
+        let tenant_no =
+            submission.tenant.as_ref().and_then(|t| position(&self.names.tenants, t)).map(TenantId);
+        let class_no = position(&self.names.classes, &submission.class).unwrap_or_default();
+        let mut rejected = vec![None; submission.items.len()];
         let mut views = Vec::new();
         // Scripts run after all other checks and before anything is promised: they can only add rejections. If a single
         // verdict applies to all flows, a rejection does as well.
         if !self.hooks.is_empty() {
-            for (i, (destination, parcel)) in offer.items.iter().enumerate() {
-                let mut view = view(&offer.class, offer.tenant.as_deref(), *destination, parcel);
-                turned_down[i] = self.hooks.flow_taken(&mut view);
+            for (i, (destination, parcel)) in submission.items.iter().enumerate() {
+                let mut view = view(&submission.class, submission.tenant.as_deref(), *destination, parcel);
+                rejected[i] = self.hooks.flow_taken(&mut view);
                 views.push(view);
             }
         }
-        if let Some(wait) = turned_down.iter().flatten().max().copied().filter(|_| offer.together) {
-            turned_down.fill(Some(wait));
+        if let Some(wait) = rejected.iter().flatten().max().copied().filter(|_| submission.together) {
+            rejected.fill(Some(wait));
         }
-        for (i, wait) in turned_down.iter().enumerate().filter_map(|(i, w)| Some((i, (*w)?))) {
-            self.record_rejection(&offer, Some(i), Verdict::Rejected(wait));
-            self.count_verdict(&offer.class, Verdict::Rejected(wait), 1);
+        for (i, wait) in rejected.iter().enumerate().filter_map(|(i, w)| Some((i, (*w)?))) {
+            self.record_rejection(&submission, Some(i), Verdict::Rejected(wait));
+            self.count_verdict(&submission.class, Verdict::Rejected(wait), 1);
         }
-        let Submission { class, tenant, deadline, items, together, reply, .. } = offer;
+        let Submission { class, tenant, deadline, items, together, reply, .. } = submission;
         let group = self.next;
         // One time for all: flows submitted together have the same urgency and are sent in the given order.
         let remaining = deadline.saturating_sub(self.clock.now());
-        let verdicts: Vec<_> = turned_down.iter().map(|w| w.map(Verdict::Rejected)).collect();
+        let verdicts: Vec<_> = rejected.iter().map(|w| w.map(Verdict::Rejected)).collect();
         if let Some(all) = verdicts.iter().copied().collect() {
             let _ = reply.send(all);
             return;
         }
         self.groups.insert(group, SubmissionGroup { reply, verdicts, together });
         for (index, (destination, parcel)) in items.into_iter().enumerate() {
-            if turned_down[index].is_some() {
+            if rejected[index].is_some() {
                 continue;
             }
             let no = self.number();
@@ -141,9 +142,9 @@
     /// at once, each with its notice.
     pub(super) fn accept_groups_together(&self, effects: Vec<Effect<Rc<Parcel>>>) -> Vec<Effect<Rc<Parcel>>> {
         let group = |no: &FlowNo| self.pending_submissions.get(no).map(|w| w.group);
-        let joint = |g: &u64| self.groups.get(g).is_some_and(|g| g.together);
+        let is_joint = |g: &u64| self.groups.get(g).is_some_and(|g| g.together);
         let taken = |e: &Effect<Rc<Parcel>>| match e {
-            Effect::Accepted(no, _) => group(no).filter(joint),
+            Effect::Accepted(no, _) => group(no).filter(is_joint),
             _ => None,
         };
         let taken: BTreeSet<u64> = effects.iter().filter_map(taken).collect();
