--- a/src/net/owner/admin.rs
+++ b/src/net/owner/admin.rs
@@ -58,7 +58,7 @@
             Verdict::Rejected(_) | Verdict::Ending(_) | Verdict::Full => Fate::Refused,
             Verdict::Failed => Fate::Failed,
         };
-        (0..flows).for_each(|_| self.figures.ended(class, fate));
+        (0..flows).for_each(|_| self.metrics.ended(class, fate));
     }
 
     /// Counts the end of a flow; must run before its `FlowInfo` is removed.
@@ -75,16 +75,16 @@
     pub(super) fn count(&self, no: FlowNo, fate: Fate) {
         let place = self.flow_infos.get(&no).filter(|p| !p.resend);
         if let Some(class) = place.and_then(|p| self.names.classes.get(p.class)) {
-            self.figures.ended(class, fate);
+            self.metrics.ended(class, fate);
         }
     }
 
     /// Updates the metrics that are sampled instead of event driven.
     pub(super) fn update_metrics(&mut self, now: Duration) {
-        self.figures.in_flight(self.core.open_flows());
+        self.metrics.in_flight(self.core.open_flows());
         if now >= self.servers_counted_at + SERVER_COUNT_INTERVAL {
             self.servers_counted_at = now;
-            self.figures.servers(self.directory.server_counts(&self.core.avoided()));
+            self.metrics.servers(self.directory.server_counts(&self.core.avoided()));
             self.write_endpoint_records();
         }
     }
--- a/src/net/owner/claims.rs
+++ b/src/net/owner/claims.rs
@@ -112,7 +112,12 @@
             return;
         }
         let Some(Open { submission, .. }) = fleet.claims.open.remove(&claim) else { return };
-        tracing::debug!(id = submission.items.first().map(|(_, p)| p.id.as_str()), is = ?decision, heard = ?answers, "claim decided");
+        tracing::debug!(
+            id = submission.items.first().map(|(_, p)| p.id.as_str()),
+            is = ?decision,
+            heard = ?answers,
+            "claim decided"
+        );
         let verdict = match decision {
             Claim::Free => return self.handle_submission(submission),
             Claim::Theirs => Verdict::Accepted,
--- a/src/net/owner/control.rs
+++ b/src/net/owner/control.rs
@@ -12,37 +12,38 @@
 impl Owner {
     pub(super) fn control(&mut self, order: Order) -> Answer {
         let now = self.clock.now();
-        let Some(keeper) = &mut self.keeper else {
+        let Some(undelivered) = &mut self.undelivered else {
             return Answer::error("nothing is kept: the operator's file has no [undelivered]");
         };
         match order {
             Order::List { filter, after, bodies } => {
                 let most = if bodies { ITEMS.1 } else { ITEMS.0 };
-                let (kept, next) = keeper.shelf.look(&filter, after, most);
+                let (kept, next) = undelivered.shelf.look(&filter, after, most);
                 let items = kept.iter().map(|k| {
-                    let body = bodies.then(|| keeper.shelf.body(k.key).ok().flatten()).flatten();
+                    let body = bodies.then(|| undelivered.shelf.body(k.key).ok().flatten()).flatten();
                     item(k, body.as_ref().map(|b| &b.body[..]))
                 });
                 Answer { items: items.collect(), next, ..Answer::default() }
             }
             Order::Change { filter, after, what, by } => self.change(&filter, after, what, &by, now),
             Order::Stats => {
-                let (messages, bytes, open) = keeper.planner.totals();
-                let states = State::ALL.map(|s| (s.name().to_string(), keeper.shelf.by_state(s).count()));
-                let store = &keeper.shelf.store;
+                let (messages, bytes, open) = undelivered.planner.totals();
+                let states =
+                    State::ALL.map(|s| (s.name().to_string(), undelivered.shelf.by_state(s).count()));
+                let store = &undelivered.shelf.store;
                 let stats = json!({
                     "messages": messages,
                     "bytes": bytes,
                     "resends_open": open,
                     "states": states.into_iter().collect::<BTreeMap<_, _>>(),
-                    "destinations": keeper.planner.lanes(),
+                    "destinations": undelivered.planner.lanes(),
                     "store": {
                         "live_bytes": store.live_bytes(),
                         "used_bytes": store.used_bytes(),
                         "capacity_bytes": store.capacity(),
                         "takes_writes": store.writes(),
                     },
-                    "since_start": keeper.counts,
+                    "since_start": undelivered.counts,
                 });
                 Answer { items: vec![stats], ..Answer::default() }
             }
@@ -50,9 +51,9 @@
     }
 
     fn change(&mut self, filter: &Filter, after: Option<u64>, what: What, by: &str, now: Duration) -> Answer {
-        let Some(keeper) = &mut self.keeper else { return Answer::default() };
-        let stamp = keeper.machine.stamp(now);
-        let (found, next) = keeper.shelf.look(filter, after, ITEMS.0);
+        let Some(undelivered) = &mut self.undelivered else { return Answer::default() };
+        let stamp = undelivered.machine.stamp(now);
+        let (found, next) = undelivered.shelf.look(filter, after, ITEMS.0);
         let mut answer = Answer { next, ..Answer::default() };
         for mut kept in found {
             let changed = match what {
@@ -62,21 +63,21 @@
                 What::Discard if kept.is() == State::Resending => false,
                 What::Discard => {
                     tracing::info!(key = kept.key, id = kept.id, by, "undelivered: discarded");
-                    keeper.remove(kept.key);
+                    undelivered.remove(kept.key);
                     answer.done += 1;
                     continue;
                 }
             };
             if changed {
                 tracing::info!(key = kept.key, id = kept.id, by, ?what, "undelivered: changed");
-                keeper.put(&kept);
+                undelivered.put(&kept);
                 answer.done += 1;
             } else {
                 answer.left += 1;
             }
         }
         // An operator's change must be durable before it is confirmed.
-        match keeper.write(std::mem::take(&mut self.resend_ends), true) {
+        match undelivered.write(std::mem::take(&mut self.resend_ends), true) {
             Ok(ends) => {
                 for no in ends {
                     self.resends.remove(&no);
--- a/src/net/owner/handover.rs
+++ b/src/net/owner/handover.rs
@@ -21,9 +21,9 @@
         if giver.on(ToGiver::Asked) != Give::Park {
             return None;
         }
-        self.parking.open();
+        self.held_connections.open();
         let event = if self.wait_for_release(&mut peer).await { ToGiver::Parked } else { ToGiver::Late };
-        let mut parked = self.parking.close();
+        let mut parked = self.held_connections.close();
         parked.idle = self.upstream.park_idle();
         if giver.on(event) == Give::Offer {
             self.trim(&mut parked);
@@ -65,7 +65,7 @@
             }
             self.wake_if_due();
             self.step();
-            if self.parking.is_quiet() && self.queue.is_empty() {
+            if self.held_connections.is_quiet() && self.queue.is_empty() {
                 return true;
             }
             if Instant::now() >= until {
@@ -76,7 +76,7 @@
             tokio::select! {
                 biased;
                 Some(message) = self.queue.recv() => self.handle_message(message),
-                () = self.parking.changed() => {}
+                () = self.held_connections.changed() => {}
                 () = sleep_until(Instant::now() + POLL_INTERVAL) => {}
             }
         }
--- a/src/net/owner/mail.rs
+++ b/src/net/owner/mail.rs
@@ -8,7 +8,7 @@
     pub(super) fn end_record(
         &mut self, no: FlowNo, parcel: &Parcel, end: End, refused: bool, now: Duration,
     ) -> Record {
-        let said = self.replies.remove(&no);
+        let reply = self.replies.remove(&no);
         if matches!(end, End::Delivered | End::Over) {
             return Record::Ended(no, None);
         }
@@ -20,14 +20,14 @@
             id = parcel.id,
             to = envelope.to,
             "mail ends undelivered: {}",
-            said.as_deref().unwrap_or("-")
+            reply.as_deref().unwrap_or("-")
         );
         let bounce = self.mail.as_ref().and_then(|(s, _)| s.bounce.map(|to| (s.clone(), to)));
         let Some((settings, to)) = bounce.filter(|_| !envelope.from.is_empty()) else {
             return Record::Ended(no, None);
         };
         let progress = self.journal.ledger().open.get(&no).map(|(_, p)| p.clone()).unwrap_or_default();
-        let permanent = said.as_deref().is_some_and(|s| s.starts_with('5'));
+        let permanent = reply.as_deref().is_some_and(|s| s.starts_with('5'));
         let (status, reason) = match end {
             End::Failed if permanent => ("5.0.0", "The server that it was for refused it for good."),
             End::Failed if progress.risk.or(progress.out.filter(|_| !refused)).is_some() => (
@@ -47,7 +47,7 @@
             recipient: &envelope.to,
             status,
             reason,
-            diagnostic: said.as_deref(),
+            diagnostic: reply.as_deref(),
             original: &parcel.body,
             now,
         };
--- a/src/net/owner/messages.rs
+++ b/src/net/owner/messages.rs
@@ -32,7 +32,7 @@
                 // here.
                 let mail = self.directory.get(end.server).is_some_and(|s| s.wire != Wire::Http);
                 if mail && !end.outcome.never_ran() {
-                    self.figures.sent();
+                    self.metrics.sent();
                 }
                 self.record_traffic(&end);
                 // If this record is never written, a restart treats the call as one that may have run.
@@ -68,9 +68,9 @@
             // A handover is only possible at the top of the loop; a process that requests one at another time retries.
             OwnerMessage::HandOver(_) => {}
             OwnerMessage::Rules(rules) => {
-                if let Some(keeper) = &mut self.keeper {
-                    keeper.planner.set_rules(rules);
-                    keeper.look_soon();
+                if let Some(undelivered) = &mut self.undelivered {
+                    undelivered.planner.set_rules(rules);
+                    undelivered.look_soon();
                 }
             }
             OwnerMessage::Gone(gone) => self.set_gone_relays(gone),
--- a/src/net/owner/mod.rs
+++ b/src/net/owner/mod.rs
@@ -148,19 +148,19 @@
     notifying: bool,
     draining_since: Option<Duration>,
     /// Manages undelivered messages, if enabled.
-    keeper: Option<Keeper>,
+    undelivered: Option<Keeper>,
     resends: BTreeMap<FlowNo, undelivered::Resend>,
     /// Resends that ended in this step, or in an earlier one whose changes could not be written.
     resend_ends: Vec<FlowNo>,
     max_calls: usize,
     max_held: usize,
-    figures: Figures,
+    metrics: Figures,
     /// When the servers were last counted for the metrics.
     servers_counted_at: Duration,
     evacuation: Evacuation,
     /// Entitles this process to decide and write; released in a handover.
     lock: Option<Lock>,
-    parking: Parking,
+    held_connections: Parking,
     edge: Option<Rc<Edge>>,
     /// Number of sockets that two processes may hold together.
     sockets: usize,
--- a/src/net/owner/parts.rs
+++ b/src/net/owner/parts.rs
@@ -56,19 +56,19 @@
     /// Records the trace, if enabled.
     pub recorder: Option<StepRecorder>,
     /// Manages undelivered messages, if enabled.
-    pub keeper: Option<Keeper>,
+    pub undelivered: Option<Keeper>,
     /// Receives batches of notices.
     pub notices: mpsc::Sender<Vec<(FlowNo, Owed)>>,
     /// Lock of the folder, if already held.
     pub lock: Option<Lock>,
     /// Collects the sockets that are held for another process.
-    pub parking: Parking,
+    pub held_connections: Parking,
     /// Client connections; adopts those that no other process took over.
     pub edge: Option<Rc<Edge>>,
     /// State transferred by another process, if any.
     pub handed: Option<HandedState>,
     /// Metrics of the relay.
-    pub figures: Figures,
+    pub metrics: Figures,
     /// Whether clients are sent away.
     pub evacuation: Evacuation,
     /// Link to the other relays and this relay's number among them, if configured.
--- a/src/net/owner/recovery.rs
+++ b/src/net/owner/recovery.rs
@@ -14,8 +14,8 @@
         let mut lost = Vec::new();
         for (no, (flow, progress)) in open {
             if let Some(of) = flow.resend_of {
-                match &self.keeper {
-                    Some(keeper) if keeper.goes_on(no, of) => {
+                match &self.undelivered {
+                    Some(undelivered) if undelivered.goes_on(no, of) => {
                         self.resends.insert(no, undelivered::Resend { key: of.0, flow: flow.clone() });
                     }
                     // The message store was written last and contains the result of the resend.
--- a/src/net/owner/run.rs
+++ b/src/net/owner/run.rs
@@ -14,7 +14,7 @@
                 return Ended::Drained(self.recorder.map(StepRecorder::into_recorder));
             }
             let now = self.clock.now();
-            let kept = self.keeper.as_ref().map(Keeper::due);
+            let kept = self.undelivered.as_ref().map(Keeper::due);
             let due = self
                 .wakes
                 .next()
--- a/src/net/owner/step_recorder.rs
+++ b/src/net/owner/step_recorder.rs
@@ -59,8 +59,8 @@
                     scribe.offered(no, &incoming(&terms, deadline, &parcel), at);
                 }
                 Fact::Taken(no) => scribe.taken(no, at),
-                Fact::Sent(no, attempt, server, patience) => {
-                    scribe.sent(no, attempt, directory.uid(server), patience, at);
+                Fact::Sent(no, attempt, server, timeout) => {
+                    scribe.sent(no, attempt, directory.uid(server), timeout, at);
                 }
                 Fact::AttemptEnded(end, destination) => {
                     let kind = directory.get(end.server).map(|s| s.kind);
--- a/src/net/owner/step_recorder/effects.rs
+++ b/src/net/owner/step_recorder/effects.rs
@@ -15,8 +15,8 @@
                 Effect::Accepted(no, _) if lasting => self.fact(Fact::Taken(*no), now),
                 Effect::Call { flow, attempt, server, give_up_at, .. } if lasting => {
                     if self.directory.get(*server).is_some_and(|s| s.address.is_some()) {
-                        let patience = give_up_at.saturating_sub(now);
-                        self.fact(Fact::Sent(*flow, *attempt, *server, patience), now);
+                        let timeout = give_up_at.saturating_sub(now);
+                        self.fact(Fact::Sent(*flow, *attempt, *server, timeout), now);
                     }
                 }
                 Effect::Ended(no, parcel, end) => {
--- a/src/net/owner/undelivered.rs
+++ b/src/net/owner/undelivered.rs
@@ -31,14 +31,14 @@
 impl Owner {
     /// Passes the outcome of a call to the resend planner as an observation of its destination.
     pub(super) fn record_traffic(&mut self, end: &CallEnd) {
-        let Some(keeper) = &mut self.keeper else { return };
+        let Some(undelivered) = &mut self.undelivered else { return };
         let Some(destination) = self.flow_infos.get(&end.flow).map(|p| p.destination) else { return };
         let what = match end.outcome {
             Outcome::Success => Traffic::Well,
             Outcome::Withdrawn | Outcome::Void => return,
             _ => Traffic::Trouble,
         };
-        keeper.planner.traffic(destination.0, what, self.clock.now());
+        undelivered.planner.traffic(destination.0, what, self.clock.now());
     }
 
     /// Whether a flow that ends may have run. `refused`: a call that the ledger may show as sent is proved not to have
@@ -65,7 +65,7 @@
         for effect in effects {
             let Effect::Ended(no, parcel, end) = effect else { continue };
             let End::Returned(wait) = *end else { continue };
-            let stays = self.keeper.is_some() || parcel.mail.is_some();
+            let stays = self.undelivered.is_some() || parcel.mail.is_some();
             let flow = self.journal.ledger().open.get(no).filter(|_| stays);
             if flow.is_some_and(|(f, _)| f.deadline <= now + wait) {
                 *end = End::Failed;
@@ -75,22 +75,22 @@
 
     /// Ends an ordinary flow: if it failed and a rule applies, its message is kept.
     pub(super) fn keep_failed(&mut self, no: FlowNo, end: End, refused: bool, now: Duration) {
-        let Some(mut keeper) = self.keeper.take() else { return };
+        let Some(mut undelivered) = self.undelivered.take() else { return };
         if end == End::Failed {
             let of_ledger = self.journal.ledger().open.get(&no).map(|(f, _)| f.clone());
             let flow = of_ledger.or_else(|| self.pending_submissions.get(&no).map(|w| w.flow.clone()));
             if let Some(flow) = flow {
-                let (kept, body) = self.kept(no, &flow, refused, now, &keeper);
-                keeper.keep(kept, &body);
+                let (kept, body) = self.kept(no, &flow, refused, now, &undelivered);
+                undelivered.keep(kept, &body);
             }
         } else {
-            keeper.not_failed(no);
+            undelivered.not_failed(no);
         }
-        self.keeper = Some(keeper);
+        self.undelivered = Some(undelivered);
     }
 
     fn kept(
-        &self, no: FlowNo, flow: &TakenFlow, refused: bool, now: Duration, keeper: &Keeper,
+        &self, no: FlowNo, flow: &TakenFlow, refused: bool, now: Duration, undelivered: &Keeper,
     ) -> (Kept, Body) {
         let parcel = &flow.parcel;
         let class = position(&self.names.classes, &flow.class).and_then(|c| self.classes.get(c));
@@ -100,7 +100,7 @@
             Some(crate::api::Effect::Repeatable) => Duration::from_secs(u64::MAX >> 32),
             _ => Duration::ZERO,
         };
-        let stamp = keeper.machine.stamp(now);
+        let stamp = undelivered.machine.stamp(now);
         let mut kept = Kept {
             key: no.0,
             id: parcel.id.clone(),
@@ -113,7 +113,7 @@
             recipient: parcel.mail.as_ref().map(|m| m.to.clone()).unwrap_or_default(),
             ..Kept::default()
         };
-        kept.settle_first(self.ran(no, refused, now, &keeper.machine), stamp);
+        kept.settle_first(self.ran(no, refused, now, &undelivered.machine), stamp);
         if self.refused_for_good(no) {
             kept.set_state(State::GivenUp);
             kept.note(stamp, "refused for good", "");
@@ -132,50 +132,50 @@
     /// Updates the message of a resend that ended or was not accepted.
     pub(super) fn settle_resend(&mut self, no: FlowNo, end: Option<End>, refused: bool, now: Duration) {
         let Some(resend) = self.resends.get(&no) else { return };
-        let Some(mut keeper) = self.keeper.take() else { return };
-        let (key, stamp) = (resend.key, keeper.machine.stamp(now));
+        let Some(mut undelivered) = self.undelivered.take() else { return };
+        let (key, stamp) = (resend.key, undelivered.machine.stamp(now));
         let delivered = matches!(end, Some(End::Delivered | End::Over));
         // Held by the module until its end: says nothing about the destination and does not count as a try.
         let sent = self.journal.ledger().open.get(&no).is_some_and(|(_, p)| p.attempts > 0);
         if delivered || sent {
-            keeper.planner.resend_ended(key, delivered, now);
+            undelivered.planner.resend_ended(key, delivered, now);
         } else {
-            keeper.planner.not_now(resend.flow.destination, now + RETRY_DELAY);
+            undelivered.planner.not_now(resend.flow.destination, now + RETRY_DELAY);
         }
         if delivered {
-            keeper.remove(key);
-            keeper.counts.delivered += 1;
+            undelivered.remove(key);
+            undelivered.counts.delivered += 1;
             tracing::info!(flow = no.0, key, "undelivered: delivered by a resend");
-        } else if let Ok(Some(mut kept)) = keeper.shelf.get(key) {
-            let rule = keeper.planner.rules().of(&kept.class, kept.destination);
+        } else if let Ok(Some(mut kept)) = undelivered.shelf.get(key) {
+            let rule = undelivered.planner.rules().of(&kept.class, kept.destination);
             let (tries, pause) = rule.map_or((0, RETRY_DELAY), |r| (r.tries, r.pause));
             let tries = if self.refused_for_good(no) { 0 } else { tries };
             if !sent {
                 kept.not_begun(RETRY_DELAY, stamp);
             } else {
-                kept.settle(self.ran(no, refused, now, &keeper.machine), tries, pause, stamp);
+                kept.settle(self.ran(no, refused, now, &undelivered.machine), tries, pause, stamp);
                 match kept.is() {
-                    State::MayHaveRun => keeper.counts.may_have_run += 1,
-                    _ => keeper.counts.failed += 1,
+                    State::MayHaveRun => undelivered.counts.may_have_run += 1,
+                    _ => undelivered.counts.failed += 1,
                 }
                 tracing::info!(flow = no.0, key, state = kept.is().name(), "undelivered: a resend failed");
             }
-            keeper.put(&kept);
+            undelivered.put(&kept);
         } else {
             tracing::error!(key, "undelivered: a message cannot be read and is not resent");
-            keeper.planner.remove(key);
+            undelivered.planner.remove(key);
         }
         self.replies.remove(&no);
-        self.keeper = Some(keeper);
+        self.undelivered = Some(undelivered);
         self.resend_ends.push(no);
     }
 
     /// Writes the changes of the step to the message store; returns the resends whose ends may now be written to the
     /// journal.
     pub(super) fn write_kept_messages(&mut self) -> Vec<FlowNo> {
-        let Some(keeper) = &mut self.keeper else { return Vec::new() };
+        let Some(undelivered) = &mut self.undelivered else { return Vec::new() };
         let began = self.clock.now();
-        let done = keeper.write(std::mem::take(&mut self.resend_ends), false).unwrap_or_else(|e| {
+        let done = undelivered.write(std::mem::take(&mut self.resend_ends), false).unwrap_or_else(|e| {
             tracing::error!("undelivered: write failed: {e}; retrying in the next step");
             Vec::new()
         });
@@ -195,41 +195,41 @@
             return;
         }
         let now = self.clock.now();
-        let Some(mut keeper) = self.keeper.take() else { return };
-        if keeper.due() <= now {
-            keeper.tidy(now);
+        let Some(mut undelivered) = self.undelivered.take() else { return };
+        if undelivered.due() <= now {
+            undelivered.tidy(now);
             // A draining relay begins no resends, but marks the check as done; otherwise the owner would never sleep
             // again.
             let most = if self.phase.state() == crate::net::phase::State::Serving { AT_ONCE } else { 0 };
             for _ in 0..most {
                 let slots = (self.max_calls / SLOTS_SHARE).max(1);
-                if keeper.is_late()
+                if undelivered.is_late()
                     || self.resends.len() >= slots
                     || !self.core.has_capacity(self.max_held / HELD_SHARE)
                 {
                     break;
                 }
-                let Some(pick) = keeper.planner.pick(now) else { break };
-                if !self.begin_resend(&mut keeper, pick.key, now) {
-                    keeper.planner.not_now(pick.destination, now + RETRY_DELAY);
+                let Some(pick) = undelivered.planner.pick(now) else { break };
+                if !self.begin_resend(&mut undelivered, pick.key, now) {
+                    undelivered.planner.not_now(pick.destination, now + RETRY_DELAY);
                 }
             }
-            keeper.looked(now);
+            undelivered.looked(now);
         }
-        self.keeper = Some(keeper);
+        self.undelivered = Some(undelivered);
     }
 
     /// Begins a resend; false if it is not possible now.
-    fn begin_resend(&mut self, keeper: &mut Keeper, key: u64, now: Duration) -> bool {
-        let stamp = keeper.machine.stamp(now);
-        let (mut kept, body) = match (keeper.shelf.get(key), keeper.shelf.body(key)) {
+    fn begin_resend(&mut self, undelivered: &mut Keeper, key: u64, now: Duration) -> bool {
+        let stamp = undelivered.machine.stamp(now);
+        let (mut kept, body) = match (undelivered.shelf.get(key), undelivered.shelf.body(key)) {
             (Ok(Some(kept)), Ok(Some(body))) => (kept, body),
             (kept, _) => {
                 tracing::error!(key, "undelivered: a message cannot be read and is put on hold");
                 let mut kept = kept.ok().flatten();
                 match kept.as_mut().map(|k| k.hold("the relay: it cannot be read", stamp)) {
-                    Some(Ok(())) => kept.iter().for_each(|k| keeper.put(k)),
-                    _ => keeper.planner.remove(key),
+                    Some(Ok(())) => kept.iter().for_each(|k| undelivered.put(k)),
+                    _ => undelivered.planner.remove(key),
                 }
                 return true;
             }
@@ -238,7 +238,7 @@
             // The window in which it may be repeated has passed.
             kept.set_state(State::MayHaveRun);
             kept.note(stamp, "its window has passed; may-have-run", "");
-            keeper.put(&kept);
+            undelivered.put(&kept);
             return true;
         }
         let destination = DestinationId(kept.destination);
@@ -253,15 +253,15 @@
         if !kept.begin(no.0, stamp) {
             return false;
         }
-        keeper.put(&kept);
-        if let Err(e) = keeper.write(Vec::new(), true) {
+        undelivered.put(&kept);
+        if let Err(e) = undelivered.write(Vec::new(), true) {
             tracing::error!("undelivered: write failed: {e}; the resend is postponed");
-            keeper.take_back(&kept);
+            undelivered.take_back(&kept);
             kept.not_begun(RETRY_DELAY, stamp);
-            keeper.plan(&kept);
+            undelivered.plan(&kept);
             return false;
         }
-        keeper.counts.resends += 1;
+        undelivered.counts.resends += 1;
         let life = self.classes.get(class).map_or(Duration::ZERO, |c| c.1);
         let mail = body.mail_to.map(|to| Envelope { from: body.mail_from.unwrap_or_default(), to });
         let routed = body.routed_path.map(|path| Routed { path, key: body.routed_key.unwrap_or_default() });
--- a/src/net/relay/mod.rs
+++ b/src/net/relay/mod.rs
@@ -98,14 +98,14 @@
         }
         None => None,
     };
-    let parking = Parking::default();
+    let held_connections = Parking::default();
     let upstream = Upstream::new(
         config.settings.connect_timeout,
         config.settings.keepalive,
         shares.idle,
         to_owner.clone(),
         figures.clone(),
-        parking.clone(),
+        held_connections.clone(),
     );
     spawn_local(upstream.clone().sweep());
     let mail_upstream = config.mail.as_ref().map(|m| {
@@ -124,13 +124,13 @@
     let staged = Staged::build(config.routing.clone().unwrap_or_default());
     let staged = staged.map_err(|e| StartError(format!("routing: {e}")))?;
     let routing = Routing::new(staged, config.seed, clock.now());
-    let witness = config.trace.as_ref().map(|t| witness(config, t, clock.now())).transpose()?;
-    let keeper = config.undelivered.as_ref().map(|settings| {
+    let recorder = config.trace.as_ref().map(|t| witness(config, t, clock.now())).transpose()?;
+    let undelivered = config.undelivered.as_ref().map(|settings| {
         let ledger = journal.ledger();
         let open: Vec<_> = ledger.open.iter().map(|(no, (flow, _))| (*no, flow.resend_of)).collect();
         Keeper::open(settings, clock.now(), &open, ledger.next == 0)
     });
-    let keeper = keeper.transpose().map_err(|e| StartError(format!("undelivered: {e}")))?;
+    let undelivered = undelivered.transpose().map_err(|e| StartError(format!("undelivered: {e}")))?;
     let edge = config.http.as_ref().map(|http| {
         let parts = EdgeParts {
             owner: to_owner.clone(),
@@ -140,7 +140,7 @@
             clock,
             limits: EdgeLimits { connections: shares.edges, closing: shares.closing, bodies: shares.bodies },
             routing: routing.clone(),
-            parking: parking.clone(),
+            parking: held_connections.clone(),
         };
         Edge::new(parts, http)
     });
@@ -151,8 +151,8 @@
     };
     let parts = OwnerParts {
         journal,
-        recorder: witness,
-        keeper,
+        recorder,
+        undelivered,
         clock,
         phase: phase.clone(),
         upstream,
@@ -160,10 +160,10 @@
         routing,
         notices: due,
         lock,
-        parking,
+        held_connections,
         edge: edge.clone(),
         handed: state,
-        figures: figures.clone(),
+        metrics: figures.clone(),
         evacuation,
         peers,
         datagrams,
