--- a/crates/onyxstile-lab/src/comeback/sim.rs
+++ b/crates/onyxstile-lab/src/comeback/sim.rs
@@ -157,7 +157,7 @@
                 let told: Vec<_> = self.relays[i].core.reported_limits().collect();
                 self.relays[i] = self.relay(i, false);
                 if matches!(self.scene.way, Way::Peers | Way::Alone) {
-                    // The folder has the limits that were told, as `net::owner::sights` writes them down.
+                    // The folder has the limits that were told, as `net::owner::endpoint_records` writes them down.
                     told.into_iter().for_each(|(no, rate)| self.relays[i].core.restore_limit(no, rate));
                 }
                 let life = Life { born: 1, folder: i as u32, start: 2, process: 9, turn: 0 };
--- a/tests/cluster/mod.rs
+++ b/tests/cluster/mod.rs
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Records which endpoints are down or cold, and the reported limits, like `net::owner::sights`.
+    /// Records which endpoints are down or cold, and the reported limits, like `net::owner::endpoint_records`.
     fn write_health_records(&mut self) {
         let unhealthy = self.core.unhealthy_endpoints().map(|no| no.0.to_string()).collect();
         let limits = self.core.reported_limits().map(|(no, rate)| (no.0.to_string(), rate)).collect();
