--- a/src/net/owner/mail.rs
+++ b/src/net/owner/mail.rs
@@ -1,14 +1,14 @@
-//! What the owner does for mail flows alone: calls that they share, and the notifications of their ends.
+//! Mail flows: shared calls, and notifications of their ends.
 
 use super::*;
 
 impl Owner {
-    /// How the end of a flow is written down, with what is owed for it.
-    /// `refused`: the call that the ledger may still show as out is known not to have run.
+    /// Journal record of the end of a flow, including the notice that is due for it. `refused`: the call that the
+    /// ledger may still show as sent is known not to have run.
     pub(super) fn end_record(
         &mut self, no: FlowNo, parcel: &Parcel, end: End, refused: bool, now: Duration,
     ) -> Record {
-        let said = self.replies.remove(&no);
+        let reply = self.replies.remove(&no);
         if matches!(end, End::Delivered | End::Over) {
             return Record::Ended(no, None);
         }
@@ -20,14 +20,14 @@
             id = parcel.id,
             to = envelope.to,
             "mail ends undelivered: {}",
-            said.as_deref().unwrap_or("-")
+            reply.as_deref().unwrap_or("-")
         );
         let bounce = self.mail.as_ref().and_then(|(s, _)| s.bounce.map(|to| (s.clone(), to)));
         let Some((settings, to)) = bounce.filter(|_| !envelope.from.is_empty()) else {
             return Record::Ended(no, None);
         };
         let progress = self.journal.ledger().open.get(&no).map(|(_, p)| p.clone()).unwrap_or_default();
-        let permanent = said.as_deref().is_some_and(|s| s.starts_with('5'));
+        let permanent = reply.as_deref().is_some_and(|s| s.starts_with('5'));
         let (status, reason) = match end {
             End::Failed if permanent => ("5.0.0", "The server that it was for refused it for good."),
             End::Failed if progress.risk.or(progress.out.filter(|_| !refused)).is_some() => (
@@ -47,7 +47,7 @@
             recipient: &envelope.to,
             status,
             reason,
-            diagnostic: said.as_deref(),
+            diagnostic: reply.as_deref(),
             original: &parcel.body,
             now,
         };
@@ -62,8 +62,8 @@
         )
     }
 
-    /// Hands the mail calls of this step out: what goes to one real server shares calls as far as its kind
-    /// allows, and in a call what has one sender and one body shares a transaction.
+    /// Makes the mail calls of this step. Messages to one server share calls up to the limit of its kind; within a
+    /// call, messages with the same sender and body share a transaction.
     pub(super) fn make_mail_calls(&mut self) {
         let mut by_server: BTreeMap<ServerNo, Vec<_>> = BTreeMap::new();
         for (server, give_up_at, destination, item) in std::mem::take(&mut self.mail_calls) {
--- a/src/net/owner/new.rs
+++ b/src/net/owner/new.rs
@@ -1,13 +1,13 @@
-//! How an owner begins: with what the journal holds, or with what another process had.
+//! Construction of the owner from the journal or from the state of another process.
 
 use super::*;
 use onyxstile_recovery::Loss;
 
 impl Owner {
-    /// An owner that has taken up what the journal holds.
+    /// Creates an owner from the contents of the journal or from a transferred state.
     ///
     /// # Errors
-    /// Settings that cannot work, or a state that was handed over and does not fit.
+    /// Invalid settings, or a transferred state that is inconsistent.
     pub fn new(config: &Config, parts: OwnerParts) -> Result<Self, OwnerError> {
         let OwnerParts {
             journal,
@@ -17,13 +17,13 @@
             mail_upstream,
             routing,
             recorder,
-            keeper,
+            undelivered,
             notices,
             lock,
-            parking,
+            held_connections,
             edge,
             handed,
-            figures,
+            metrics,
             evacuation,
             peers,
             datagrams,
@@ -71,16 +71,16 @@
             notices,
             notifying: false,
             draining_since: None,
-            keeper,
+            undelivered,
             resends: BTreeMap::new(),
             resend_ends: Vec::new(),
             max_calls: config.settings.max_calls,
             max_held: config.settings.max_held,
-            figures,
+            metrics,
             servers_counted_at: Duration::ZERO,
             evacuation,
             lock,
-            parking,
+            held_connections,
             edge,
             sockets: config.shares.together,
             last_submission: clock.now(),
--- a/src/net/owner/step_recorder/effects.rs
+++ b/src/net/owner/step_recorder/effects.rs
@@ -1,9 +1,9 @@
-//! What comes out of a step, told to the recorder.
+//! Records the effects of a step.
 
 use super::*;
 
 impl Owner {
-    /// The effects of a step, which are about to be carried out; `lasting`: their records are written.
+    /// Records the effects of a step before they are carried out; `lasting`: their journal records are written.
     pub(in crate::net::owner) fn record_effects(
         &mut self, effects: &[Effect<Rc<Parcel>>], lasting: bool, now: Duration, resent: &BTreeSet<FlowNo>,
     ) {
@@ -15,8 +15,8 @@
                 Effect::Accepted(no, _) if lasting => self.fact(Fact::Taken(*no), now),
                 Effect::Call { flow, attempt, server, give_up_at, .. } if lasting => {
                     if self.directory.get(*server).is_some_and(|s| s.address.is_some()) {
-                        let patience = give_up_at.saturating_sub(now);
-                        self.fact(Fact::Sent(*flow, *attempt, *server, patience), now);
+                        let timeout = give_up_at.saturating_sub(now);
+                        self.fact(Fact::Sent(*flow, *attempt, *server, timeout), now);
                     }
                 }
                 Effect::Ended(no, parcel, end) => {
--- a/src/net/owner/submissions.rs
+++ b/src/net/owner/submissions.rs
@@ -1,19 +1,19 @@
-//! Offers: what is looked at before a flow is handed to the core, and the verdicts.
+//! Submissions: checks before flows are passed to the core, and their verdicts.
 
 use super::drain::retry_after;
 use super::*;
 
 impl Owner {
-    /// What is to be said at once of an offer, if anything.
-    pub(super) fn check_submission(&mut self, offer: &Submission) -> Option<Verdict> {
+    /// Immediate verdict on a submission, if there is one.
+    pub(super) fn check_submission(&mut self, submission: &Submission) -> Option<Verdict> {
         self.last_submission = self.clock.now();
-        let items = &offer.items;
-        let known = position(&self.names.classes, &offer.class);
-        let tenant = offer.tenant.as_ref().is_none_or(|t| position(&self.names.tenants, t).is_some());
+        let items = &submission.items;
+        let known = position(&self.names.classes, &submission.class);
+        let tenant = submission.tenant.as_ref().is_none_or(|t| position(&self.names.tenants, t).is_some());
         let Some(class) = known.filter(|_| tenant) else {
             return Some(Verdict::Unknown(if known.is_none() { "the class" } else { "the account" }));
         };
-        if let Some(what) = self.unusable(class, offer.deadline, items) {
+        if let Some(what) = self.unusable(class, submission.deadline, items) {
             return Some(Verdict::Unknown(what));
         }
         let bytes = items.iter().map(|(_, p)| p.body.len() + 1024).sum();
@@ -21,10 +21,10 @@
             .iter()
             .any(|(_, p)| self.ids.get(&p.id).is_some_and(|no| self.pending_submissions.contains_key(no)))
         {
-            // One of that id waits for its verdict; nothing can be promised in its name.
+            // A flow with this id still waits for its verdict, so no verdict can be given for this one.
             Some(Verdict::Unknown("the id"))
         } else if items.iter().all(|(_, p)| self.ids.contains_key(&p.id)) {
-            // Taken on before, and the answer was lost on its way: it is not a second flow.
+            // Accepted before, and the answer was lost: this is not a second flow.
             Some(Verdict::Accepted)
         } else if let Some(verdict) = self.earlier_verdict(items) {
             Some(verdict)
@@ -39,52 +39,53 @@
         }
     }
 
-    /// Answers an offer at once, or takes it.
-    pub(super) fn handle_submission(&mut self, offer: Submission) {
-        match self.check_submission(&offer) {
+    /// Answers a submission immediately or passes it on.
+    pub(super) fn handle_submission(&mut self, submission: Submission) {
+        match self.check_submission(&submission) {
             Some(verdict) => {
-                self.count_verdict(&offer.class, verdict, offer.items.len());
-                self.record_rejection(&offer, None, verdict);
-                let _ = offer.reply.send(vec![verdict; offer.items.len()]);
+                self.count_verdict(&submission.class, verdict, submission.items.len());
+                self.record_rejection(&submission, None, verdict);
+                let _ = submission.reply.send(vec![verdict; submission.items.len()]);
             }
-            None => self.submit(offer),
+            None => self.submit(submission),
         }
     }
 
-    /// Hands the flows of an offer to the core, but for those that scripts turn down.
-    pub(super) fn submit(&mut self, offer: Submission) {
-        let tenant_no = offer.tenant.as_ref().and_then(|t| position(&self.names.tenants, t)).map(TenantId);
-        let class_no = position(&self.names.classes, &offer.class).unwrap_or_default();
-        let mut turned_down = vec![None; offer.items.len()];
+    /// Passes the flows of a submission to the core, except those that scripts reject.
+    pub(super) fn submit(&mut self, submission: Submission) {
+        let tenant_no =
+            submission.tenant.as_ref().and_then(|t| position(&self.names.tenants, t)).map(TenantId);
+        let class_no = position(&self.names.classes, &submission.class).unwrap_or_default();
+        let mut rejected = vec![None; submission.items.len()];
         let mut views = Vec::new();
-        // Scripts come after all that could refuse it and before anything is promised: they can only add a
-        // turn-down. Where one verdict holds for all, so does that.
+        // Scripts run after all other checks and before anything is promised: they can only add rejections. If a single
+        // verdict applies to all flows, a rejection does as well.
         if !self.hooks.is_empty() {
-            for (i, (destination, parcel)) in offer.items.iter().enumerate() {
-                let mut view = view(&offer.class, offer.tenant.as_deref(), *destination, parcel);
-                turned_down[i] = self.hooks.flow_taken(&mut view);
+            for (i, (destination, parcel)) in submission.items.iter().enumerate() {
+                let mut view = view(&submission.class, submission.tenant.as_deref(), *destination, parcel);
+                rejected[i] = self.hooks.flow_taken(&mut view);
                 views.push(view);
             }
         }
-        if let Some(wait) = turned_down.iter().flatten().max().copied().filter(|_| offer.together) {
-            turned_down.fill(Some(wait));
+        if let Some(wait) = rejected.iter().flatten().max().copied().filter(|_| submission.together) {
+            rejected.fill(Some(wait));
         }
-        for (i, wait) in turned_down.iter().enumerate().filter_map(|(i, w)| Some((i, (*w)?))) {
-            self.record_rejection(&offer, Some(i), Verdict::Rejected(wait));
-            self.count_verdict(&offer.class, Verdict::Rejected(wait), 1);
+        for (i, wait) in rejected.iter().enumerate().filter_map(|(i, w)| Some((i, (*w)?))) {
+            self.record_rejection(&submission, Some(i), Verdict::Rejected(wait));
+            self.count_verdict(&submission.class, Verdict::Rejected(wait), 1);
         }
-        let Submission { class, tenant, deadline, items, together, reply, .. } = offer;
+        let Submission { class, tenant, deadline, items, together, reply, .. } = submission;
         let group = self.next;
-        // One moment for all: what was handed in together is as urgent and goes out in the order given.
+        // One time for all: flows submitted together have the same urgency and are sent in the given order.
         let remaining = deadline.saturating_sub(self.clock.now());
-        let verdicts: Vec<_> = turned_down.iter().map(|w| w.map(Verdict::Rejected)).collect();
+        let verdicts: Vec<_> = rejected.iter().map(|w| w.map(Verdict::Rejected)).collect();
         if let Some(all) = verdicts.iter().copied().collect() {
             let _ = reply.send(all);
             return;
         }
         self.groups.insert(group, SubmissionGroup { reply, verdicts, together });
         for (index, (destination, parcel)) in items.into_iter().enumerate() {
-            if turned_down[index].is_some() {
+            if rejected[index].is_some() {
                 continue;
             }
             let no = self.number();
@@ -104,7 +105,7 @@
         }
     }
 
-    /// What makes it impossible to keep the rules for flows of a class, if anything.
+    /// Reason why the rules of a class cannot be met for these flows, if any.
     fn unusable(
         &self, class: usize, deadline: Duration, items: &[(DestinationId, Rc<Parcel>)],
     ) -> Option<&'static str> {
@@ -113,7 +114,7 @@
         let over = deadline.saturating_sub(self.clock.now()) > *longest * 2;
         let plain = |p: &Parcel| p.mail.is_none();
         items.iter().find_map(|(to, p)| match p {
-            // What no list ever named could only be held until its time is up.
+            // A destination that was never listed could only be held until its deadline.
             _ if !self.directory.was_named(*to) => Some("the destination"),
             p if plain(p) && keyed && p.key.is_none() => Some("no key"),
             p if plain(p) && over => Some("the time left"),
@@ -121,7 +122,7 @@
         })
     }
 
-    /// Tells the verdict on one flow; the client hears it once all of its group are there.
+    /// Sets the verdict on one flow; the client receives the verdicts once those of its whole group are known.
     pub(super) fn settle(&mut self, no: FlowNo, verdict: Verdict) {
         let Some(PendingSubmission { group, index, .. }) = self.pending_submissions.remove(&no) else {
             return;
@@ -132,18 +133,18 @@
         if let Some(verdicts) = verdicts
             && let Some(g) = self.groups.remove(&group)
         {
-            // The client may be gone; what was taken stays taken.
+            // The client may have disconnected; accepted flows stay accepted.
             let _ = g.reply.send(verdicts);
         }
     }
 
-    /// Guards the one verdict of flows handed in together: where some are taken, the others are taken too and
-    /// end at once, each with what is owed for it.
+    /// Keeps the single verdict of flows submitted together: if some are accepted, the others are accepted too and end
+    /// at once, each with its notice.
     pub(super) fn accept_groups_together(&self, effects: Vec<Effect<Rc<Parcel>>>) -> Vec<Effect<Rc<Parcel>>> {
         let group = |no: &FlowNo| self.pending_submissions.get(no).map(|w| w.group);
-        let joint = |g: &u64| self.groups.get(g).is_some_and(|g| g.together);
+        let is_joint = |g: &u64| self.groups.get(g).is_some_and(|g| g.together);
         let taken = |e: &Effect<Rc<Parcel>>| match e {
-            Effect::Accepted(no, _) => group(no).filter(joint),
+            Effect::Accepted(no, _) => group(no).filter(is_joint),
             _ => None,
         };
         let taken: BTreeSet<u64> = effects.iter().filter_map(taken).collect();
