--- a/tools/until-broken.sh
+++ b/tools/until-broken.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Plays a scenario again and again until a rule breaks, and keeps what was written in that play.
 #   tools/until-broken.sh COUNT FOLDER COMMAND…    # %d in COMMAND becomes the play's folder, for its logs
-# A play is broken if COMMAND fails, says that a rule was broken, or a relay's log in its folder holds a story of the
-# vigil ("without its end"). Exit code: 0 all plays held, 1 one was broken.
+# A play is broken if COMMAND fails, says that a rule was broken, or a relay's log in its folder holds a report of the
+# deadline watchdog ("without its end"). Exit code: 0 all plays held, 1 one was broken.
 set -u
 count=$1 folder=$2
 shift 2
